--- a/core/lengths/lengths.go
+++ b/core/lengths/lengths.go
@@ -1,6 +1,6 @@
-// Package lengths learns how long outputs are. Lengths are unknown when a call
-// arrives; the estimator keeps a windowed histogram per class and answers with
-// the mean of what was seen lately.
+// Package lengths estimates output lengths. The length of an output is unknown when
+// its call arrives; the estimator keeps a windowed histogram per request class and
+// predicts the mean of recent outputs.
 package lengths
 
 import (
@@ -8,16 +8,17 @@
 )
 
 const (
-	windows      = 4
-	rotateEvery  = 256
-	maxTokens    = 1 << 17
-	minSamples   = 16
-	significance = 2
+	windowCount   = 4
+	windowSamples = 256
+	maxTokens     = 1 << 17
+	minSamples    = 16
+	significance  = 2
 )
 
-// Estimator holds one histogram per class. Not safe for concurrent use.
+// Estimator keeps one histogram per class. It is not safe for concurrent use.
 type Estimator struct {
-	// Default is the answer in tokens while a class has few samples.
+	// Default is the estimate, in tokens, for classes with fewer than minSamples
+	// samples.
 	Default int
 	classes map[string]*windowed
 }
@@ -28,19 +29,19 @@
 	merged  *hdrhistogram.Histogram
 }
 
-// New returns an estimator with a default length in tokens.
+// New returns an estimator with a default estimate in tokens.
 func New(defaultTokens int) *Estimator {
 	return &Estimator{Default: defaultTokens, classes: map[string]*windowed{}}
 }
 
-// Observe records a finished output's length in tokens.
+// Observe records the length, in tokens, of a finished output.
 func (e *Estimator) Observe(class string, tokens int) {
 	w := e.classes[class]
 	if w == nil {
-		w = &windowed{hist: hdrhistogram.NewWindowed(windows, 1, maxTokens, significance)}
+		w = &windowed{hist: hdrhistogram.NewWindowed(windowCount, 1, maxTokens, significance)}
 		e.classes[class] = w
 	}
-	if w.samples > 0 && w.samples%rotateEvery == 0 {
+	if w.samples > 0 && w.samples%windowSamples == 0 {
 		w.hist.Rotate()
 	}
 	_ = w.hist.Current.RecordValue(int64(max(1, min(tokens, maxTokens))))
@@ -48,17 +49,17 @@
 	w.merged = nil
 }
 
-// Mean returns the expected length of a class in tokens.
+// Mean returns the expected output length of a class in tokens.
 func (e *Estimator) Mean(class string) float64 {
 	w := e.classes[class]
 	if w == nil || w.samples < minSamples {
 		return float64(e.Default)
 	}
-	return w.view().Mean()
+	return w.mergedHistogram().Mean()
 }
 
-// view merges the windows, at most once per observation.
-func (w *windowed) view() *hdrhistogram.Histogram {
+// mergedHistogram returns the merged windows, cached until the next observation.
+func (w *windowed) mergedHistogram() *hdrhistogram.Histogram {
 	if w.merged == nil {
 		w.merged = w.hist.Merge()
 	}
--- a/core/prefix/prefix.go
+++ b/core/prefix/prefix.go
@@ -1,18 +1,18 @@
-// Package prefix hashes the growing beginnings of prompts, so that entries,
-// dispatchers and engines name cached prefixes alike.
+// Package prefix computes hashes of prompt prefixes. Entries, dispatchers and engines
+// use them to identify cached prefixes.
 package prefix
 
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// BlockBytes is the prompt bytes per hash.
+	// BlockBytes is the number of prompt bytes per block.
 	BlockBytes = 512
-	// MaxBlocks bounds the hashes of one prompt.
+	// MaxBlocks is the maximum number of blocks hashed per prompt.
 	MaxBlocks = 16
 )
 
-// Hashes returns one hash per whole block of the concatenated parts, each
-// covering all blocks up to its own.
+// Hashes returns one hash per complete block of the concatenated parts. Each hash
+// covers the prompt from its start to the end of the block.
 func Hashes[T ~[]byte](parts []T) []uint64 {
 	h := xxhash.New()
 	var out []uint64
