--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -84,7 +84,7 @@
 	fleet []fleet.Server
 
 	mu       sync.Mutex
-	waiting  warmup.Room
+	waiting  warmup.Limiter
 	balancer *balance.Balancer
 	budgets  map[string]*retry.Window
 	queues   map[string]*ratelimit.Queue
--- a/daemon/router/warmup.go
+++ b/daemon/router/warmup.go
@@ -43,11 +43,11 @@
 func (r *Router) enterWarmup(bytes int, patience time.Duration) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.waiting.Enter(time.Now(), r.started, bytes, patience)
+	return r.waiting.Admit(time.Now(), r.started, bytes, patience)
 }
 
 func (r *Router) leaveWarmup(bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.waiting.Leave(bytes)
+	r.waiting.Release(bytes)
 }
