--- a/core/balance/admit.go
+++ b/core/balance/admit.go
@@ -5,128 +5,131 @@
 	"time"
 )
 
-// Limits of admission.
+// Admission parameters.
 const (
-	// fullShare of its slots is what an engine may run and keep waiting of long
-	// prompts. The tenth above the slots covers counts that are some hundred
-	// milliseconds old.
-	fullShare = 1.1
-	// lateShare of a call's target is what the reading before its first event may
-	// take; what takes longer goes behind the calls that can still be in time. The
-	// rest of the target is for counts that are old and for the way.
-	lateShare = 0.9
-	// timeMargin of the time that a call has left must suffice for its first event
-	// and its stream. Beyond, it would be read and generated in vain.
-	timeMargin = 0.9
-	// leastSpare is the least part of the reading that is left to late calls.
-	leastSpare = 0.1
+	// longPromptSlotFactor times its slots is the number of calls, running or queued,
+	// from which an engine counts as full for long prompts. The factor exceeds 1
+	// because counts from peers are some hundred milliseconds old.
+	longPromptSlotFactor = 1.1
+	// targetMargin is the fraction of a call's target that the wait for its first
+	// event may take. Calls expected to take longer are queued behind those that can
+	// still meet their target. The rest of the target covers stale counts and network
+	// time.
+	targetMargin = 0.9
+	// deadlineMargin is the fraction of a call's remaining time in which its first
+	// event and its stream must be expected. Otherwise the prompt would be processed
+	// and the output generated in vain.
+	deadlineMargin = 0.9
+	// minSpareShare is the minimum fraction of prefill capacity assumed to be
+	// available to late calls.
+	minSpareShare = 0.1
 )
 
-// Admission is what becomes of a long prompt.
+// Admission is the admission decision for a long prompt.
 type Admission uint8
 
-// Admissions.
+// Admission decisions.
 const (
-	// InTime calls are expected to make their target.
+	// InTime calls are expected to meet their target.
 	InTime Admission = iota
-	// Late calls are not, but to be answered within their time: they go behind those
-	// that can still be in time.
+	// Late calls are expected to miss their target but to be answered before their
+	// deadline. They are queued behind calls that can still meet theirs.
 	Late
-	// Hopeless calls can't be answered within their time.
-	Hopeless
+	// Infeasible calls cannot be answered before their deadline.
+	Infeasible
 )
 
 // String returns the name used in logs.
 func (a Admission) String() string { return [...]string{"in_time", "late", "hopeless"}[a] }
 
-// Forecast is what is expected of a long prompt that comes now.
+// Forecast is the expected outcome of a long prompt that arrives now.
 type Forecast struct {
 	Admission Admission
-	// First is the time to its first event at the engine that is the least behind,
-	// Stream the time from there to its end.
+	// First is the expected time to the first event on the best server; Stream is the
+	// expected time from the first event to the end.
 	First, Stream time.Duration
-	// Room is when a call that comes back may expect to be in time.
-	Room time.Duration
+	// RetryAfter is the time after which a retry can be expected to meet the target.
+	RetryAfter time.Duration
 }
 
-// Forecast tells what to expect of a long prompt whose caller waits so long for the
-// first event, and for the end. Other calls count as in time, and so do prompts that
-// rank higher than others of their pool.
+// Forecast predicts the outcome of a call whose caller waits firstLeft for the first
+// event and left for the end. Short calls, and prompts of a tier above the pool's
+// lowest, are always reported as in time.
 //
-// The load pattern it answers: bursts of long prompts that ask for more than all
-// engines can read. While a burst is shorter than the time that its callers have,
-// the queue empties in time: each refusal would be one too many. What has lost its
-// target is still worth a part, but must not make the next ones lose theirs too: it
-// is read when nothing in time waits. What can't end within its time is refused
-// before anything is spent on it.
+// Bursts of long prompts can exceed the prefill capacity of all engines. While a burst
+// is shorter than the time its callers allow, the queue drains in time and nothing
+// needs to be refused. A call that has missed its target still has some value but must
+// not delay others past theirs, so it is processed only when no call that can still be
+// in time is waiting. A call that cannot finish before its deadline is refused before
+// any work is spent on it.
 func (b *Balancer) Forecast(now time.Time, poolName string, c Call, firstLeft, left time.Duration) Forecast {
 	p := b.pool(poolName)
-	if c.Tokens < LongPrompt || c.Tier < p.lowestTier {
+	if c.Tokens < LongPromptTokens || c.Tier < p.lowestTier {
 		return Forecast{}
 	}
-	b.follow(now, p, poolName)
-	f, ok := b.leastBehind(now, p, poolName, c)
+	b.refreshPool(now, p, poolName)
+	f, ok := b.bestForecast(now, p, poolName, c)
 	if !ok {
 		return Forecast{}
 	}
-	inTime := portion(lateShare, c.target())
+	inTime := scaleDuration(targetMargin, c.target())
 	if f.First <= inTime {
 		return f
 	}
-	f.Room = f.First - inTime
-	// Whether there is hope is decided as for a prompt of the usual length: large ones
-	// must not be refused more often than small ones.
-	f.First -= p.stretch.of(p.speed.time(max(0, float64(c.Unshared)-p.unshared)))
-	f.First = portion(1/max(leastSpare, 1-p.use), f.First)
-	f.Admission = Hopeless
-	if f.First <= portion(timeMargin, firstLeft) && f.First+f.Stream <= portion(timeMargin, left) {
+	f.RetryAfter = f.First - inTime
+	// Feasibility is decided as for a prompt of average length, so that large prompts
+	// are not refused more often than small ones.
+	f.First -= p.slowdown.apply(p.speed.prefillTime(max(0, float64(c.Unshared)-p.meanUnshared)))
+	f.First = scaleDuration(1/max(minSpareShare, 1-p.longLoad), f.First)
+	f.Admission = Infeasible
+	if f.First <= scaleDuration(deadlineMargin, firstLeft) && f.First+f.Stream <= scaleDuration(deadlineMargin, left) {
 		f.Admission = Late
 	}
 	return f
 }
 
-func portion(share float64, d time.Duration) time.Duration {
-	return time.Duration(share * float64(d))
+// scaleDuration returns d multiplied by factor.
+func scaleDuration(factor float64, d time.Duration) time.Duration {
+	return time.Duration(factor * float64(d))
 }
 
-// leastBehind returns what to expect at the engine of the long side that has the
-// call's first event soonest.
-func (b *Balancer) leastBehind(now time.Time, p *pool, poolName string, c Call) (Forecast, bool) {
+// bestForecast returns the forecast for the server that is expected to send the call's
+// first event soonest.
+func (b *Balancer) bestForecast(now time.Time, p *pool, poolName string, c Call) (Forecast, bool) {
 	r := p.request(now, c)
 	least := Forecast{First: math.MaxInt64}
 	rate := b.limitRates(now, poolName)
-	for _, s := range p.keepToHolders(now, r, c.keepToSide(usable(now, p.servers, nil))) {
+	for _, s := range p.filterHolders(now, r, c.filterBySide(usable(now, p.servers, nil))) {
 		l := s.load()
-		own := p.unreadAt(now, s, r, true)
-		first := p.stretch.of(portion(s.slowness, p.speed.time(float64(l.Unread)+own)))
+		own := p.prefillTokens(now, s, r, true)
+		first := p.slowdown.apply(scaleDuration(s.slowness, p.speed.prefillTime(float64(l.Unread)+own)))
 		first = max(first, s.slotWait(now, p, c, l))
 		if s.limit.Named {
 			first += s.limit.bucket.Until(now, rate(s))
 		}
 		if first < least.First {
-			least.First, least.Stream = first, portion(s.slowness, p.streams.length())
+			least.First, least.Stream = first, scaleDuration(s.slowness, p.streams.length())
 		}
 	}
 	return least, least.First != math.MaxInt64
 }
 
-// slotWait estimates how long a call waits for a slot and for memory: as many
-// streams as are in its way must end, and slots are freed at the rate at which
-// streams of the usual length end.
+// slotWait estimates how long a call waits for a slot or memory. It assumes that slots
+// become free at the rate at which streams of average length end.
 func (s *server) slotWait(now time.Time, p *pool, c Call, l Load) time.Duration {
 	if s.Slots == 0 || !s.isFull(now, p, c, l) {
 		return 0
 	}
-	inTheWay := max(1, l.Running-s.Slots+1)
-	return portion(s.slowness*float64(inTheWay)/float64(s.Slots), p.streams.length())
+	surplus := max(1, l.Running-s.Slots+1)
+	return scaleDuration(s.slowness*float64(surplus)/float64(s.Slots), p.streams.length())
 }
 
-// isFull reports whether an engine has neither slots nor memory for one more call.
+// isFull reports whether the server lacks the slots or the memory for one more call.
 func (s *server) isFull(now time.Time, p *pool, c Call, l Load) bool {
-	most := float64(s.Slots)
-	if c.Tokens >= LongPrompt {
-		most *= fullShare
+	limit := float64(s.Slots)
+	if c.Tokens >= LongPromptTokens {
+		limit *= longPromptSlotFactor
 	}
-	return s.Slots > 0 && float64(l.Running) >= most || now.Before(s.fullUntil) ||
-		p.memory > 0 && float64(l.Memory+c.memory()) > memoryShare*float64(p.memory)
+	return s.Slots > 0 && float64(l.Running) >= limit || now.Before(s.fullUntil) ||
+		p.memory > 0 && float64(l.Memory+c.memory()) > maxMemoryUse*float64(p.memory)
 }
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -1,19 +1,18 @@
 // Package balance places routed calls on the backend servers of a pool.
 //
-// The load pattern it answers: long prompts (thousands of tokens) and short
-// chats come in bursts, one after the other, to engines that batch. An engine
-// reads a long prompt in chunks between the tokens of everything else it runs:
-// one chunk delays the next event of each running stream by tens of
-// milliseconds, two make a chat late. Counting calls can't see that. So engines
-// are parted in two sides, one for long prompts and one for the rest, and the
-// boundary follows the prompt tokens that arrive for each side. Within its side
-// a call goes to the engine that has read its shared part before, by rendezvous
-// hashing, unless that engine is behind.
+// Long prompts (thousands of tokens) and short chats arrive in bursts at engines that
+// batch. An engine processes a long prompt in chunks between the decoding steps of its
+// running streams: one chunk delays the next event of every stream by tens of
+// milliseconds, and two make a chat late. Call counts do not show that. Each pool's
+// engines are therefore partitioned into a long side, for long prompts, and a short
+// side, for all other calls; the boundary follows the prompt tokens that arrive for
+// each side. Within a side, rendezvous hashing sends a call to the engine that is
+// likely to have its shared prompt parts cached, unless that engine is backlogged.
 //
-// The package is pure: the clock and the randomness are passed in. Load is
-// counted from this instance's own calls and from what the other instances say
-// of theirs; servers' own reports lag and are read by all at once, so they only
-// tell whether a server is full.
+// The package is pure: time and randomness are passed in. Load is the sum of this
+// instance's own calls and the counts reported by other instances. Reports of the
+// servers themselves are delayed and reach all instances at the same time, so they are
+// used only to detect a full server.
 package balance
 
 import (
@@ -25,39 +24,40 @@
 	"cardamomwick.example/core/ratelimit"
 )
 
-// Limits of placement.
+// Placement parameters.
 const (
-	// memoryShare of an engine's memory is given to running calls; beyond it the
-	// engine preempts, and what was read is read again.
-	memoryShare = 0.9
-	// peerTime is how long another instance's counts are believed.
-	peerTime = 700 * time.Millisecond
+	// maxMemoryUse is the fraction of an engine's memory that running calls may use.
+	// Above it the engine preempts streams and has to process their prompts again.
+	maxMemoryUse = 0.9
+	// peerTTL is how long another instance's counts remain valid.
+	peerTTL = 700 * time.Millisecond
 )
 
 type server struct {
 	fleet.Server
-	// order is the server's place among those of its pool, the same at all instances.
+	// order is the server's position in the boundary order of its pool. It is the same
+	// on all instances.
 	order uint64
-	// listing is that of the fleet in which the server was last.
-	listing uint64
-	// slot is the server's place in Balancer.slots.
+	// fleetRevision is the latest fleet update that contained the server.
+	fleetRevision uint64
+	// slot is the server's index in Balancer.slots.
 	slot int
-	// version rises with each change of what is told of the server.
+	// version increases with each change of the reported counts or limit.
 	version uint64
 	own     Load
-	// others is what the other instances have there, as they last said; below is the
-	// part of it that this instance reports for them.
-	others, below counts.Row
-	fullUntil     time.Time
-	health        health
-	pace          pace
-	parts         parts
-	// slowness is the pace against the pool's middle one.
+	// peerRow sums the latest counts of all other instances. subtreeRow is the part of
+	// it that this instance includes in its own reports.
+	peerRow, subtreeRow counts.Row
+	fullUntil           time.Time
+	health              health
+	pace                pace
+	parts               partCache
+	// slowness is the ratio of the server's pace to the median of its pool.
 	slowness float64
 	slow     bool
-	// long: the server is on the long side.
+	// long is set if the server is on the long side.
 	long  bool
-	limit limited
+	limit limitState
 }
 
 type pool struct {
@@ -65,71 +65,75 @@
 	memory  int
 	sides   sides
 	speed   speed
-	// lowestTier is the rank of the pool's least urgent prompts.
+	// lowestTier is the tier of the pool's least urgent prompts.
 	lowestTier int
-	// usual is the usual time between two events.
-	usual   time.Duration
-	streams longStreams
-	// stretch is how much longer reading takes beside other work than on an idle
-	// engine.
-	stretch stretch
-	// holders are the servers that shared parts were last given to.
-	holders map[partKey]*server
-	// held is how long engines keep a shared part after its last use.
-	held time.Duration
-	// reread is the part of the shared tokens that was to be read lately.
-	reread float64
-	// use is the part of the long side's reading that is asked for.
-	use float64
-	// unshared is the usual length of a long prompt's own part, in tokens.
-	unshared float64
-	// seasoned: this instance has followed the uses of parts for long enough.
-	seasoned bool
-	// calls are those that come to this instance, limitShare its part of the servers'
-	// limits.
+	// usualInterval is the moving average of the time between two events.
+	usualInterval time.Duration
+	streams       longStreams
+	// slowdown is the ratio of actual prefill times to those of an idle engine.
+	slowdown slowdown
+	// latestHolder maps a shared part to the server that most recently received it.
+	latestHolder map[partKey]*server
+	// cacheLifetime is how long engines are expected to cache a part after its last
+	// use.
+	cacheLifetime time.Duration
+	// missShare is the moving average of the fraction of shared tokens not found in
+	// the cache.
+	missShare float64
+	// longLoad is the prefill demand on the long side as a fraction of its capacity.
+	longLoad float64
+	// meanUnshared is the average number of unshared tokens of a long prompt.
+	meanUnshared float64
+	// cacheViewComplete is set once this instance has received part uses for long
+	// enough to know which parts are cached.
+	cacheViewComplete bool
+	// calls measures the calls that arrive at this instance; limitShare tracks its
+	// share of the servers' request limits.
 	calls      meter
 	limitShare ratelimit.Share
 }
 
-// Balancer places calls on all pools. Not safe for concurrent use.
+// Balancer places calls on the servers of all pools. It is not safe for concurrent
+// use.
 type Balancer struct {
 	name    string
 	servers map[string]*server
 	pools   map[string]*pool
 	peers   map[string]*peer
-	// slots are the servers under numbers that stay while they are there, nil for
-	// numbers that are free.
+	// slots holds the servers by slot number, which is stable while a server is
+	// present. Unused slots are nil.
 	slots []*server
-	// changes are those at all servers.
+	// changes logs the slots whose counts have changed.
 	changes counts.ChangeLog
-	// free are the slots without a server.
-	free []int
-	// listing counts how often the fleet was set.
-	listing uint64
-	// level is this instance's place in the tree of collectors, instances counts all.
+	// freeSlots are the unused slot numbers.
+	freeSlots []int
+	// fleetRevision counts how often the fleet was set.
+	fleetRevision uint64
+	// level is this instance's level in the tree of collectors; instances is the
+	// number of instances.
 	level     uint8
 	instances int
-	// limitChanges are those that were not asked for yet.
+	// limitChanges are the changes not yet returned by LimitChanges.
 	limitChanges []LimitChange
-	uses         usesLog
-	told         toldBoundaries
-	// firstStream is what streams of messages begin with.
+	uses         useLog
+	advertised   advertisedBoundaries
+	// firstStream is the stream number of the first messages after the start.
 	firstStream uint32
 
-	pacedAt time.Time
-	// since is when this instance began to exchange counts.
-	since time.Time
+	pacesComparedAt time.Time
+	// exchangeSince is when this instance sent its first counts.
+	exchangeSince time.Time
 }
 
-// New returns a balancer for the named instance that knows no servers. start is a
-// number that no earlier start of the instance had: others must notice that it knows
-// nothing of what it told them before.
+// New returns a balancer without servers for the named instance. start must differ
+// from that of every earlier start of the instance, so that peers notice that its
+// previous state is lost.
 func New(name string, start uint32) *Balancer {
 	return &Balancer{name: name, firstStream: start, servers: map[string]*server{}, pools: map[string]*pool{}, peers: map[string]*peer{}}
 }
 
-// SetEngines tells of a pool of model engines how many tokens one of them keeps,
-// and the rank of its least urgent prompts.
+// SetEngines sets the memory, in tokens, of one engine of a pool and the tier of the
+// pool's least urgent prompts.
 func (b *Balancer) SetEngines(poolName string, memory, lowestTier int) {
 	p := b.pool(poolName)
 	p.memory, p.lowestTier = memory, lowestTier
@@ -138,38 +142,38 @@
 func (b *Balancer) pool(name string) *pool {
 	p := b.pools[name]
 	if p == nil {
-		p = &pool{reread: startReread}
+		p = &pool{missShare: initialMissShare}
 		b.pools[name] = p
 	}
 	return p
 }
 
-// Arrive notes a call for a pool, placed or not.
-func (b *Balancer) Arrive(now time.Time, poolName string, c Call) {
+// RecordArrival records the arrival of a call for a pool, whether or not it is placed.
+func (b *Balancer) RecordArrival(now time.Time, poolName string, c Call) {
 	p := b.pool(poolName)
 	p.calls.add(now, 1)
-	p.sides.arrive(now, c, c.long(&p.speed), c.unread(p.reread))
+	p.sides.arrive(now, c, c.usesLongSide(&p.speed), c.unread(p.missShare))
 }
 
-// Choice is a server with what decided for it.
+// Choice is the selected server and the reasons for its selection.
 type Choice struct {
 	fleet.Server
-	// Rank is the server's place in the ranking of the call's shared part: 0 is its
-	// home, -1 a server on the other side of the boundary.
+	// Rank is the server's position in the rendezvous ranking for the call's affinity
+	// key: 0 is the home server, -1 a server on the other side of the boundary.
 	Rank int
-	// Loss is the loss that was expected, the least of all servers.
+	// Loss is the expected loss, the lowest of all candidates.
 	Loss float64
 }
 
-// Choose returns the server for a call, other than the excluded ones; ok is
-// false when none can take it now. random draws uniformly from [0, 1).
+// Choose selects a server for a call, skipping the excluded ones. ok is false if no
+// server can take the call now. random returns uniform values from [0, 1).
 func (b *Balancer) Choose(now time.Time, poolName string, c Call, exclude func(id string) bool, random func() float64) (Choice, bool) {
 	p := b.pool(poolName)
 	b.refreshPaces(now)
 	if c.Tokens > 0 {
-		b.follow(now, p, poolName)
+		b.refreshPool(now, p, poolName)
 	}
-	candidates := c.keepToSide(b.withTokens(now, poolName, usable(now, p.servers, exclude), c.LeaveLimited))
+	candidates := c.filterBySide(b.filterLimited(now, poolName, usable(now, p.servers, exclude), c.SkipLimited))
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
@@ -177,18 +181,18 @@
 		candidates = list
 	}
 	if c.Tokens == 0 {
-		candidates = twoOf(candidates, random)
+		candidates = sampleTwo(candidates, random)
 	}
 	r := p.request(now, c)
-	candidates = p.keepToHolders(now, r, candidates)
-	onLong := c.long(&p.speed)
-	ranks := rankByHome(c.Home, candidates, func(s *server) bool { return c.Tokens == 0 || s.long == onLong })
+	candidates = p.filterHolders(now, r, candidates)
+	onLong := c.usesLongSide(&p.speed)
+	ranks := rankByHome(c.AffinityKey, candidates, func(s *server) bool { return c.Tokens == 0 || s.long == onLong })
 	best := 0
 	least := math.Inf(1)
 	for i, s := range candidates {
 		loss := p.loss(now, s, r, ranks[i])
-		if ranks[i] != 0 || c.Home == "" {
-			loss += spreadLoss * random()
+		if ranks[i] != 0 || c.AffinityKey == "" {
+			loss += jitterLoss * random()
 		}
 		if loss < least {
 			best, least = i, loss
@@ -197,10 +201,11 @@
 	return Choice{candidates[best].Server, ranks[best], least}, true
 }
 
-// twoOf draws two servers. The counts of other instances are older than a plain
-// call takes: the server with the fewest calls got the next ones of all instances,
-// and its answers came half as late again as with two drawn by lot.
-func twoOf(list []*server, random func() float64) []*server {
+// sampleTwo returns two random servers. Counts of other instances are older than a
+// plain call lasts, so choosing the server with the fewest calls sent the calls of all
+// instances to the same one: answers took half as long again as with two random
+// candidates.
+func sampleTwo(list []*server, random func() float64) []*server {
 	if len(list) <= 2 {
 		return list
 	}
@@ -212,20 +217,20 @@
 	return []*server{list[i], list[j]}
 }
 
-// load counts the server's calls over all instances.
+// load returns the server's load over all instances.
 func (s *server) load() Load {
 	l := s.own
-	l.Add(s.others.Load)
+	l.Add(s.peerRow.Load)
 	return l
 }
 
-// down reports whether a server is taken to be gone, for the time being.
+// down reports whether the server is currently considered unavailable.
 func (s *server) down(now time.Time) bool {
 	return !s.TakesWork() || s.health.avoided(now)
 }
 
-// usable prefers servers in this order: announced and healthy, announced,
-// overdue. Draining ones take nothing.
+// usable returns the healthy servers, or the announced but unhealthy ones if there are
+// none, or else the overdue ones. Draining servers are never returned.
 func usable(now time.Time, list []*server, exclude func(id string) bool) []*server {
 	var healthy, announced, overdue []*server
 	for _, s := range list {
@@ -248,31 +253,33 @@
 	return overdue
 }
 
-// Ticket accounts for one call at one server.
+// Ticket accounts for one call on one server.
 type Ticket struct {
 	server string
 	load   Load
 	sent   time.Time
-	// ahead is what the engine had to read up to the end of this call's prompt.
+	// ahead is the number of prompt tokens the engine had to process, up to and
+	// including this call's prompt, when the call was sent.
 	ahead float64
-	// tokens is the prompt's length, unshared the part of it that no other call has.
+	// tokens is the length of the prompt; unshared is the part that no other call
+	// shares.
 	tokens, unshared int
 }
 
 // long reports whether the call is a long prompt.
 func (t *Ticket) long() bool { return t.load.Long > 0 }
 
-// Ahead is how many prompt tokens the server had to read up to the end of the
-// call's own, when the call was sent.
+// Ahead returns the number of prompt tokens that the server had to process, up to and
+// including this call's prompt, when the call was sent.
 func (t *Ticket) Ahead() float64 { return t.ahead }
 
-// ReadingTime estimates how long the server needs for what it had to read up to
-// the end of the call's prompt.
-func (b *Balancer) ReadingTime(poolName string, t Ticket) time.Duration {
-	return b.pool(poolName).speed.time(t.ahead)
+// PrefillTime estimates how long the server needs to process the tokens returned by
+// Ticket.Ahead.
+func (b *Balancer) PrefillTime(poolName string, t Ticket) time.Duration {
+	return b.pool(poolName).speed.prefillTime(t.ahead)
 }
 
-// Start notes that a call was sent to a server.
+// Start records that a call was sent to a server.
 func (b *Balancer) Start(now time.Time, id string, c Call) Ticket {
 	t := Ticket{server: id, sent: now, load: c.load(), tokens: c.Tokens, unshared: c.Unshared}
 	s := b.servers[id]
@@ -281,68 +288,68 @@
 	}
 	p := b.pool(s.Pool)
 	r := p.request(now, c)
-	unread := p.unreadAt(now, s, r, true)
+	unread := p.prefillTokens(now, s, r, true)
 	t.load.Unread = int(unread)
 	if t.long() {
-		p.unshared = smooth(p.unshared, float64(c.Unshared), rereadWeight)
+		p.meanUnshared = ewma(p.meanUnshared, float64(c.Unshared), missShareWeight)
 	}
-	if c.followed() {
-		p.noteReread((unread - float64(c.Unshared)) / float64(c.shared()))
-		b.use(now, s, r.parts)
+	if c.tracksCache() {
+		p.observeMissShare((unread - float64(c.Unshared)) / float64(c.shared()))
+		b.recordUses(now, s, r.parts)
 	}
 	s.own.Add(t.load)
 	b.takeToken(now, s)
-	b.touch(s)
+	b.markChanged(s)
 	t.ahead = float64(s.load().Unread)
 	return t
 }
 
-// Began notes that the server has read the call's prompt.
-func (b *Balancer) Began(now time.Time, t *Ticket) {
+// RecordFirstEvent records that the server has processed the call's prompt.
+func (b *Balancer) RecordFirstEvent(now time.Time, t *Ticket) {
 	if s := b.servers[t.server]; s != nil {
 		p := b.pool(s.Pool)
 		s.own.Unread -= t.load.Unread
-		b.touch(s)
+		b.markChanged(s)
 		if t.ahead <= float64(t.load.Unread) {
 			p.speed.observe(float64(t.unshared), float64(t.tokens), now.Sub(t.sent))
 		}
 		if t.long() {
-			p.stretch.observe(portion(s.slowness, p.speed.time(t.ahead)), now.Sub(t.sent))
+			p.slowdown.observe(scaleDuration(s.slowness, p.speed.prefillTime(t.ahead)), now.Sub(t.sent))
 		}
 	}
 	t.load.Unread = 0
 }
 
-// End notes that a call is over at a server.
+// End records that a call on a server is over.
 func (b *Balancer) End(t Ticket) {
 	if s := b.servers[t.server]; s != nil {
 		s.own.Sub(t.load)
-		b.touch(s)
+		b.markChanged(s)
 	}
 }
 
-// fullTime is how long a server that refused is taken to be full: the time of
-// a few calls at an engine's usual speed.
+// fullTime is how long a server is treated as full after refusing a call: about the
+// duration of a few calls at an engine's usual speed.
 const fullTime = 150 * time.Millisecond
 
-// Full notes that a server refused a call because it has no room.
-func (b *Balancer) Full(now time.Time, id string) {
+// RecordFull records that a server refused a call for lack of capacity.
+func (b *Balancer) RecordFull(now time.Time, id string) {
 	if s := b.servers[id]; s != nil {
 		s.fullUntil = now.Add(fullTime)
 	}
 }
 
-// Good notes that a server answered a call as it should.
-func (b *Balancer) Good(now time.Time, id string) {
+// RecordSuccess records a successful answer of a server.
+func (b *Balancer) RecordSuccess(now time.Time, id string) {
 	if s := b.servers[id]; s != nil {
-		s.health.good(now)
+		s.health.recordSuccess(now)
 	}
 }
 
-// Bad notes a failure. Unreachable: not even a connection was made, or it broke
-// without any answer.
-func (b *Balancer) Bad(now time.Time, id string, unreachable bool) {
+// RecordFailure records a failed call. unreachable is set if no connection could be
+// made or it broke before any answer.
+func (b *Balancer) RecordFailure(now time.Time, id string, unreachable bool) {
 	if s := b.servers[id]; s != nil {
-		s.health.bad(now, unreachable)
+		s.health.recordFailure(now, unreachable)
 	}
 }
--- a/core/balance/call.go
+++ b/core/balance/call.go
@@ -3,44 +3,45 @@
 import "time"
 
 const (
-	// LongPrompt is the prompt length in tokens from which a call belongs to the
-	// long side. Two chunks of 2,048 tokens take longer to read than the pause
-	// that a chat allows between two events.
-	LongPrompt = 4000
-	// startReread is the share of shared parts that is taken to be read before any
-	// was seen.
-	startReread = 0.2
-	// rereadWeight is the weight of one call in the share that is read, and in the
-	// usual length of a long prompt's own part.
-	rereadWeight = 0.03
+	// LongPromptTokens is the prompt length from which a call belongs to the long
+	// side. Processing two chunks of 2,048 tokens takes longer than the gap that a
+	// chat allows between two events.
+	LongPromptTokens = 4000
+	// initialMissShare is the cache miss share assumed before any call was observed.
+	initialMissShare = 0.2
+	// missShareWeight is the weight of one call in the moving averages of the miss
+	// share and of the unshared length of long prompts.
+	missShareWeight = 0.03
 )
 
-// Call is what placement needs to know.
+// Call describes a call to be placed.
 type Call struct {
-	// Tokens is the prompt's length, zero for plain calls.
+	// Tokens is the length of the prompt; zero for calls without one.
 	Tokens int
-	// Unshared is how many of them no other call has.
+	// Unshared is the number of prompt tokens that no other call shares.
 	Unshared int
-	// MaxOutput is the most that may be generated, in tokens.
+	// MaxOutput is the maximum number of generated tokens.
 	MaxOutput int
-	// Target is the time to the answer, or its first event, that the operator
-	// wants; zero where none is declared.
+	// Target is the configured time to the answer or, for streams, to its first event;
+	// zero if none is configured.
 	Target time.Duration
-	// Gap is the longest pause between two events that is on time; zero where none
-	// is declared.
+	// Gap is the configured maximum time between two events; zero if none is
+	// configured.
 	Gap time.Duration
-	// Tier is the rank of the call's route; 0 is the highest.
+	// Tier is the tier of the call's route; 0 is the most urgent.
 	Tier int
-	// Home names the last shared part, "" for none.
-	Home string
-	// Chain are the shared parts in their order; the last one is Home. Left out, all
-	// shared tokens belong to Home.
+	// AffinityKey is the ID of the last shared part, or "" if there is none. It
+	// determines the home server.
+	AffinityKey string
+	// Chain lists the shared parts in prompt order, ending with AffinityKey. If empty,
+	// all shared tokens belong to AffinityKey.
 	Chain []Part
-	// LeaveLimited: calls that go first wait for the servers that have named a limit.
-	LeaveLimited bool
+	// SkipLimited excludes servers with a request limit, because calls with precedence
+	// are waiting for them.
+	SkipLimited bool
 }
 
-// Part is a piece of a prompt that other calls have too.
+// Part is a section of a prompt that other calls share.
 type Part struct {
 	ID     string
 	Tokens int
@@ -48,36 +49,38 @@
 
 // chain returns the call's shared parts.
 func (c *Call) chain() []Part {
-	if len(c.Chain) == 0 && c.Home != "" {
-		return []Part{{c.Home, c.shared()}}
+	if len(c.Chain) == 0 && c.AffinityKey != "" {
+		return []Part{{c.AffinityKey, c.shared()}}
 	}
 	return c.Chain
 }
 
-// Limits for short calls beside long prompts.
+// Conditions for placing short calls on the long side.
 const (
-	// usualLong is the length of a long prompt that such a call may wait for.
-	usualLong = 3 * LongPrompt
-	// besideLong is the part of its target that this wait may take.
-	besideLong = 0.45
+	// assumedLongTokens is the length of the long prompt that such a call may have to
+	// wait for.
+	assumedLongTokens = 3 * LongPromptTokens
+	// maxLongWaitShare is the maximum fraction of the call's target that this wait may
+	// take.
+	maxLongWaitShare = 0.45
 )
 
-// long reports whether the call belongs to the long side. Beside long prompts go
-// also the short calls that bear it: whose events may pause for longer than a
-// chunk of reading takes, and whose target leaves time for a long prompt to be
-// read first. That keeps the reading of their own prompts away from chats, which
-// hold their slots for longer the more is read beside them.
-func (c *Call) long(s *speed) bool {
-	if c.Tokens >= LongPrompt {
+// usesLongSide reports whether the call belongs to the long side: long prompts, and
+// short calls that tolerate them. The latter allow a longer gap between events than a
+// prefill chunk takes, and their target leaves time for a long prompt to be processed
+// first. This keeps their own prefill away from chats, which occupy their slots for
+// longer the more prefill runs next to them.
+func (c *Call) usesLongSide(s *speed) bool {
+	if c.Tokens >= LongPromptTokens {
 		return true
 	}
-	return c.Gap > 0 && !c.sensitive() && s.time(usualLong).Seconds() <= besideLong*c.target().Seconds()
+	return c.Gap > 0 && !c.sensitive() && s.prefillTime(assumedLongTokens).Seconds() <= maxLongWaitShare*c.target().Seconds()
 }
 
-// keepToSide leaves a long prompt the engines of its side, as long as there are
-// any: on the other side one of them makes every chat of its engine late.
-func (c *Call) keepToSide(list []*server) []*server {
-	if c.Tokens < LongPrompt {
+// filterBySide restricts a long prompt to servers on the long side, if there are any:
+// on the other side it would delay every chat of its engine.
+func (c *Call) filterBySide(list []*server) []*server {
+	if c.Tokens < LongPromptTokens {
 		return list
 	}
 	var long []*server
@@ -99,36 +102,39 @@
 	return c.Target
 }
 
-// unread estimates the tokens that an engine must read, when of shared parts the
-// given share is.
-func (c *Call) unread(reread float64) float64 {
-	if !c.followed() {
+// unread estimates how many tokens an engine has to process for the call, given the
+// cache miss share of shared parts.
+func (c *Call) unread(missShare float64) float64 {
+	if !c.tracksCache() {
 		return float64(c.Unshared)
 	}
-	return float64(c.Unshared) + reread*float64(c.shared())
+	return float64(c.Unshared) + missShare*float64(c.shared())
 }
 
-// noteReread takes the share of a call's shared parts that its engine has to read.
-func (p *pool) noteReread(share float64) { p.reread += rereadWeight * (share - p.reread) }
+// observeMissShare updates the moving average with the miss share of one call.
+func (p *pool) observeMissShare(share float64) {
+	p.missShare += missShareWeight * (share - p.missShare)
+}
 
-// sensitiveGap is the pause up to which a stream is late when its engine reads
-// prompts without a break: five tokens an event, each after a chunk of 2,048
+// sensitiveGap is the allowed gap up to which a stream becomes late on an engine that
+// processes prompts continuously: five tokens per event, each after a chunk of 2,048
 // tokens, take a quarter of a second on a slow engine.
 const sensitiveGap = 250 * time.Millisecond
 
 func (c *Call) sensitive() bool { return c.Gap > 0 && c.Gap <= sensitiveGap }
 
-// load is what the call adds to its server.
+// load returns the load that the call adds to its server.
 func (c *Call) load() Load {
 	l := Load{Running: 1, Unread: c.Unshared, Memory: c.memory()}
 	if c.sensitive() {
 		l.Sensitive = 1
 	}
-	if c.Tokens >= LongPrompt {
+	if c.Tokens >= LongPromptTokens {
 		l.Long = 1
 	}
 	return l
 }
 
-// memory is what the call may fill at its engine, beside shared parts.
+// memory returns the maximum memory, in tokens, that the call uses on its engine, not
+// counting shared parts.
 func (c *Call) memory() int { return c.Unshared + c.MaxOutput }
--- a/core/balance/demand.go
+++ b/core/balance/demand.go
@@ -7,12 +7,11 @@
 	"cardamomwick.example/core/collect"
 )
 
-// KnowsAll reports whether this instance's place in the tree of collectors makes it know
-// the load of all others.
-func (b *Balancer) KnowsAll() bool { return b.level == collect.LevelZone }
+// SeesAllLoad reports whether this instance's level in the tree of collectors gives it
+// the load of all other instances.
+func (b *Balancer) SeesAllLoad() bool { return b.level == collect.LevelZone }
 
-// Demand returns what the calls for a pool of model engines ask of it now, at all
-// instances.
+// Demand returns the current demand on a pool of model engines over all instances.
 func (b *Balancer) Demand(now time.Time, poolName string) capacity.Demand {
 	p := b.pool(poolName)
 	d := capacity.Demand{Pool: poolName}
@@ -24,8 +23,8 @@
 	return d
 }
 
-// withheld is how many of a pool's servers their request limits keep from work, by what
-// each would get of the calls that come.
+// withheld returns how many servers' worth of capacity the request limits make
+// unavailable, assuming that the calls are spread evenly.
 func (b *Balancer) withheld(now time.Time, p *pool, poolName string) float64 {
 	calls := b.rates(now, p, poolName).Calls
 	withheld, takeWork := 0.0, 0
--- a/core/balance/engine_test.go
+++ b/core/balance/engine_test.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// engineSim is a model engine that batches: each step gives one token to every
-// stream whose prompt is read, and reads a chunk of the oldest unread prompt.
-// The figures are those of the larger deployment's engines.
+// engineSim simulates a model engine with continuous batching: each step produces one
+// token for every stream whose prompt is processed, and processes a chunk of the
+// oldest pending prompt. The parameters are those of the larger deployment's engines.
 type engineSim struct {
 	id      string
 	slow    float64
 	at      time.Duration
 	streams []*streamSim
 	cached  map[string]time.Duration
-	// slots bounds the streams that are worked on; the others wait. Zero for no
-	// bound.
+	// slots bounds the running streams; the others wait. Zero means no bound.
 	slots int
 }
 
@@ -23,22 +22,22 @@
 	call    Call
 	arrived time.Duration
 	unread  int
-	// toRead is what was unread at first; late: the stream waits for those that can
+	// toPrefill is the initial value of unread. late streams wait for those that can
 	// still be in time.
-	toRead   int
-	late     bool
-	context  int
-	tokens   int
-	output   int
-	first    time.Duration
-	last     time.Duration
-	worstGap time.Duration
-	gaps     []time.Duration
-	ticket   Ticket
-	// onGap is told of each time between two events; nil for nobody.
+	toPrefill int
+	late      bool
+	context   int
+	tokens    int
+	output    int
+	first     time.Duration
+	last      time.Duration
+	worstGap  time.Duration
+	gaps      []time.Duration
+	ticket    Ticket
+	// onGap, if set, is called with each time between two events.
 	onGap func(time.Duration)
 	done  bool
-	// cut: the stream ran into callTimeout.
+	// cut is set if the stream exceeded callTimeout.
 	cut bool
 }
 
@@ -52,44 +51,43 @@
 	callTimeout    = 15 * time.Second
 )
 
-// accept adds a stream. Shared parts that the engine has read lately need not
-// be read again.
-func (e *engineSim) accept(s *streamSim) (reread int) {
+// accept adds a stream. Shared parts that are still cached are not processed again.
+func (e *engineSim) accept(s *streamSim) (reprocessed int) {
 	if len(e.streams) == 0 {
 		e.at = max(e.at, s.arrived)
 	}
 	s.unread = s.call.Tokens
 	shared := s.call.Tokens - s.call.Unshared
-	if at, ok := e.cached[s.call.Home]; ok && s.arrived-at < cacheTime {
+	if at, ok := e.cached[s.call.AffinityKey]; ok && s.arrived-at < cacheTime {
 		s.unread -= shared
 	} else {
-		reread = shared
+		reprocessed = shared
 	}
-	e.cached[s.call.Home] = s.arrived
-	s.toRead = s.unread
+	e.cached[s.call.AffinityKey] = s.arrived
+	s.toPrefill = s.unread
 	at := len(e.streams)
 	for at > 0 && e.streams[at-1].waits() && e.streams[at-1].rank() > s.rank() {
-		at-- // what is urgent is admitted before what waits and is less so
+		at-- // before waiting streams of lower urgency
 	}
 	e.streams = slices.Insert(e.streams, at, s)
-	return reread
+	return reprocessed
 }
 
-// waits reports whether nothing of the stream has been read.
-func (s *streamSim) waits() bool { return s.toRead > 0 && s.unread == s.toRead }
+// waits reports whether no part of the stream's prompt has been processed.
+func (s *streamSim) waits() bool { return s.toPrefill > 0 && s.unread == s.toPrefill }
 
-// rank is the urgency that the stream's engine is told; 0 comes first.
+// rank is the stream's priority on its engine; 0 comes first.
 func (s *streamSim) rank() int {
 	switch {
 	case s.late:
 		return 2
-	case s.call.Tokens >= LongPrompt:
+	case s.call.Tokens >= LongPromptTokens:
 		return 1
 	}
 	return 0
 }
 
-// step runs one step and returns the streams that ended.
+// step runs one step. It returns the streams that began and those that ended.
 func (e *engineSim) step() (began, ended []*streamSim) {
 	took := float64(stepTime)
 	left := chunkTokens
--- a/core/balance/exchange_bench_test.go
+++ b/core/balance/exchange_bench_test.go
@@ -13,7 +13,7 @@
 	"cardamomwick.example/core/wire"
 )
 
-// bigFleet is so many engines and a few plain servers.
+// bigFleet returns a fleet with the given number of engines.
 func bigFleet(engines int) []fleet.Server {
 	var list []fleet.Server
 	for i := range engines {
@@ -22,9 +22,9 @@
 	return list
 }
 
-// zoneOf is a collector with what it hears of: members, and one peer with everything
-// that other zones have.
-type zoneOf struct {
+// benchZone is a collector with its members and one peer that reports the load of all
+// other zones.
+type benchZone struct {
 	collector, outside *Balancer
 	members            []*Balancer
 	list               []fleet.Server
@@ -32,8 +32,8 @@
 	rnd                *rand.Rand
 }
 
-func newZone(members, engines int) *zoneOf {
-	z := &zoneOf{list: bigFleet(engines), rnd: rand.New(rand.NewSource(1)), open: make([][]Ticket, members)}
+func newZone(members, engines int) *benchZone {
+	z := &benchZone{list: bigFleet(engines), rnd: rand.New(rand.NewSource(1)), open: make([][]Ticket, members)}
 	instance := func(name string, level uint8) *Balancer {
 		b := New(name, 1)
 		b.SetFleet(z.list)
@@ -48,8 +48,9 @@
 	return z
 }
 
-// work lets a member end its oldest call and start another one.
-func (z *zoneOf) work(now time.Time, i int) {
+// replaceCall ends the oldest call of a member, if it has more than four, and starts
+// another.
+func (z *benchZone) replaceCall(now time.Time, i int) {
 	c := longCall(fmt.Sprint(z.rnd.Intn(200)))
 	b := z.members[i]
 	if open := z.open[i]; len(open) > 4 {
@@ -59,9 +60,9 @@
 	z.open[i] = append(z.open[i], b.Start(now, z.list[z.rnd.Intn(len(z.list))].ID, c))
 }
 
-// BenchmarkAnswer is what one report and its answer cost a collector: decoding, taking
-// the report, making and encoding the answer. Whole tables took 0.32 ms for 40 members
-// and 117 engines and 4.3 KB an answer.
+// BenchmarkAnswer measures a collector's cost of one report and its answer: decoding
+// and applying the report, building and encoding the answer. Sending complete tables
+// took 0.32 ms and 4.3 KB per answer for 40 members and 117 engines.
 func BenchmarkAnswer(b *testing.B) {
 	for _, size := range []struct{ members, engines int }{{16, 117}, {40, 117}, {16, 2000}} {
 		b.Run(fmt.Sprintf("members=%d/engines=%d", size.members, size.engines), func(b *testing.B) {
@@ -71,13 +72,13 @@
 			for i := range b.N {
 				now = now.Add(6 * time.Millisecond)
 				member := z.members[i%size.members]
-				z.work(now, i%size.members)
+				z.replaceCall(now, i%size.members)
 				elsewhere := z.list[z.rnd.Intn(len(z.list))].ID
 				z.outside.End(z.outside.Start(now, elsewhere, longCall("x")))
 				z.outside.Start(now, elsewhere, chat)
 				if i%size.members == 0 {
-					tell(now, z.outside, z.collector)
-					tell(now, z.collector, z.outside)
+					sendSum(now, z.outside, z.collector)
+					sendSum(now, z.collector, z.outside)
 				}
 				report := member.ReportTo(now, "a")
 				data, err := msgpack.Marshal(&report)
@@ -89,7 +90,7 @@
 				if err := wire.Decode(data, &m); err != nil {
 					b.Fatal(err)
 				}
-				z.collector.Take(now, &m)
+				z.collector.Receive(now, &m)
 				answer := z.collector.AnswerTo(now, member.name)
 				out, err := msgpack.Marshal(&answer)
 				if err != nil {
@@ -97,7 +98,7 @@
 				}
 				spent += time.Since(began)
 				bytes += len(out)
-				member.Take(now, pass(answer))
+				member.Receive(now, roundTrip(answer))
 			}
 			b.ReportMetric(float64(spent.Nanoseconds())/float64(b.N), "collector-ns/op")
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op")
@@ -105,10 +106,10 @@
 	}
 }
 
-// All counts of a tree of collectors as large as the largest deployment aimed at come
-// round, each call counted once, though every tenth message is lost; and so does the last
-// word of each server on its request limit.
-func TestCountsComeRoundATree(t *testing.T) {
+// In a tree of collectors as large as the largest targeted deployment, every instance
+// must receive all counts, each call counted once, and the latest request limit of
+// each server, although every tenth message is lost.
+func TestCountsConvergeInCollectorTree(t *testing.T) {
 	const groups, perGroup, engines, limitedServers = 4, 13, 400, 60
 	list := bigFleet(engines)
 	instance := func(name string, level uint8) *Balancer {
@@ -146,7 +147,7 @@
 	lose := true
 	send := func(to *Balancer, now time.Time, m counts.Message) {
 		if !lose || rnd.Intn(10) > 0 {
-			to.Take(now, pass(m))
+			to.Receive(now, roundTrip(m))
 		}
 	}
 	want := map[string]int{}
@@ -162,11 +163,11 @@
 				want[id]++
 				started++
 			}
-			b.Forget(now)
+			b.DropSilentPeers(now)
 		}
-		if round%4 == 0 && round < 10 { // each server has another limit each 400 ms, the last one at round 8
+		if round%4 == 0 && round < 10 { // each server changes its limit every 400 ms, last in round 8
 			for i := range limitedServers {
-				all[(7*i+31*round)%len(all)].HeardLimit(now, list[i].ID, perSecond(float64(i+round)))
+				all[(7*i+31*round)%len(all)].RecordLimit(now, list[i].ID, perSecond(float64(i+round)))
 			}
 		}
 		for _, z := range zones {
@@ -200,15 +201,16 @@
 	}
 	t.Logf("%d instances, %d calls at %d engines", len(all), started, len(want))
 	if wrongLimits > 0 {
-		t.Errorf("%d limits of %d are wrong", wrongLimits, len(all)*limitedServers)
+		t.Errorf("%d of %d limits are wrong", wrongLimits, len(all)*limitedServers)
 	}
 	if wrong > 0 {
-		t.Errorf("%d counts of %d are wrong", wrong, len(all)*len(want))
+		t.Errorf("%d of %d counts are wrong", wrong, len(all)*len(want))
 	}
 }
 
-// BenchmarkLimitedServers is what a call costs an entry where all engines of the largest
-// deployment aimed at name limits, and how many bytes it takes to tell all of them.
+// BenchmarkLimitedServers measures the cost of a call at an entry when all engines of
+// the largest targeted deployment announce limits, and the bytes needed to report all
+// of them.
 func BenchmarkLimitedServers(b *testing.B) {
 	for _, engines := range []int{117, 2000} {
 		for _, limited := range []bool{false, true} {
@@ -219,24 +221,24 @@
 				x.SetEngines("p", 362_091, 0)
 				for i := range list {
 					if limited {
-						x.HeardLimit(t0, list[i].ID, perSecond(3))
+						x.RecordLimit(t0, list[i].ID, perSecond(3))
 					}
 				}
-				told := 0
+				limitBytes := 0
 				for i := range engines/200 + 1 {
 					m := x.SumTo(t0.Add(time.Duration(i)*time.Second/10), "peer")
-					told += len(m.Limits)
+					limitBytes += len(m.Limits)
 				}
 				rnd := rand.New(rand.NewSource(1))
 				b.ResetTimer()
 				for i := range b.N {
 					now := t0.Add(time.Duration(i) * time.Second / 3)
-					x.Arrive(now, "p", chat)
+					x.RecordArrival(now, "p", chat)
 					if s, ok := x.Choose(now, "p", chat, nil, rnd.Float64); ok {
 						x.End(x.Start(now, s.ID, chat))
 					}
 				}
-				b.ReportMetric(float64(told), "bytes-told")
+				b.ReportMetric(float64(limitBytes), "bytes-told")
 			})
 		}
 	}
--- a/core/balance/fuzz_test.go
+++ b/core/balance/fuzz_test.go
@@ -11,12 +11,12 @@
 	"cardamomwick.example/core/wire"
 )
 
-// A report that another version or a faulty instance sends may be nonsense, but
-// must neither end this instance nor make placement fail.
+// A report from another version or a faulty instance may be nonsense. It must neither
+// crash this instance nor make placement fail.
 func FuzzReport(f *testing.F) {
 	b, list := pool12()
 	b.Start(t0, list[0].ID, longCall("s"))
-	b.HeardLimit(t0, list[2].ID, ratelimit.Limit{Named: true, PerSecond: 2.5})
+	b.RecordLimit(t0, list[2].ID, ratelimit.Limit{Named: true, PerSecond: 2.5})
 	first := b.SumTo(t0, "peer")
 	b.Start(t0, list[1].ID, longCall("s"))
 	second := b.AnswerTo(t0, "member")
@@ -35,12 +35,12 @@
 			return
 		}
 		b, _ := pool12()
-		b.Take(t0, &m)
-		b.Take(t0, &m)
+		b.Receive(t0, &m)
+		b.Receive(t0, &m)
 		now := t0.Add(100 * time.Millisecond)
 		b.Forecast(now, "p", longCall("s"), time.Second, time.Second)
-		if _, ok := b.Choose(now, "p", longCall("s"), nil, middle); !ok {
-			if _, limited := b.TokenIn(now, "p", nil, 0); !limited {
+		if _, ok := b.Choose(now, "p", longCall("s"), nil, fixedRandom); !ok {
+			if _, limited := b.TokenWait(now, "p", nil, 0); !limited {
 				t.Error("no engine is chosen after a report, and none is limited")
 			}
 		}
--- a/core/balance/health.go
+++ b/core/balance/health.go
@@ -5,61 +5,63 @@
 	"time"
 )
 
-// Limits of health.
+// Health parameters.
 const (
-	// avoidBase is how long a server that could not be reached is passed over;
-	// it doubles with each further failure in a row.
+	// avoidBase is how long a server is avoided after it could not be reached. The
+	// time doubles with each consecutive failure, up to avoidMax.
 	avoidBase = 500 * time.Millisecond
 	avoidMax  = 4 * time.Second
-	// aliveTime is how long after an answer a server can't be taken for gone: one
-	// that loses some of its answers still serves the rest.
-	aliveTime = 300 * time.Millisecond
-	// failureLoss is the loss of a server that fails every call.
+	// recentSuccessWindow is how long after a success a server cannot be treated as
+	// unreachable: a server that loses some of its answers still serves the rest.
+	recentSuccessWindow = 300 * time.Millisecond
+	// failureLoss is the loss for a server on which every call fails.
 	failureLoss = 2
-	// failureWeight is the weight of the newest call in the failure share.
+	// failureWeight is the weight of the latest call in the failure share.
 	failureWeight = 0.1
-	// failureTime lets a failure share fade, so that a mended server is found.
-	failureTime = 4 * time.Second
+	// failureDecay is the time constant with which the failure share decays, so that a
+	// recovered server gets calls again.
+	failureDecay = 4 * time.Second
 )
 
-// health is what calls have shown of a server, whatever it says of itself.
+// health tracks the outcomes of calls to a server, independent of what the server
+// reports.
 type health struct {
-	inARow     int
-	avoidUntil time.Time
-	failures   float64
-	at         time.Time
-	lastGood   time.Time
+	consecutiveFailures int
+	avoidUntil          time.Time
+	failures            float64
+	at                  time.Time
+	lastSuccess         time.Time
 }
 
-func (h *health) fade(now time.Time) {
+func (h *health) decay(now time.Time) {
 	if !h.at.IsZero() {
-		h.failures *= math.Exp(-now.Sub(h.at).Seconds() / failureTime.Seconds())
+		h.failures *= math.Exp(-now.Sub(h.at).Seconds() / failureDecay.Seconds())
 	}
 	h.at = now
 }
 
-func (h *health) good(now time.Time) {
-	h.fade(now)
+func (h *health) recordSuccess(now time.Time) {
+	h.decay(now)
 	h.failures *= 1 - failureWeight
-	h.inARow = 0
-	h.lastGood = now
+	h.consecutiveFailures = 0
+	h.lastSuccess = now
 	h.avoidUntil = time.Time{}
 }
 
-func (h *health) bad(now time.Time, unreachable bool) {
-	h.fade(now)
+func (h *health) recordFailure(now time.Time, unreachable bool) {
+	h.decay(now)
 	h.failures += failureWeight * (1 - h.failures)
-	if !unreachable || now.Sub(h.lastGood) < aliveTime {
+	if !unreachable || now.Sub(h.lastSuccess) < recentSuccessWindow {
 		return
 	}
-	wait := avoidBase << min(h.inARow, 3)
-	h.inARow++
+	wait := avoidBase << min(h.consecutiveFailures, 3)
+	h.consecutiveFailures++
 	h.avoidUntil = now.Add(min(wait, avoidMax))
 }
 
 func (h *health) avoided(now time.Time) bool { return now.Before(h.avoidUntil) }
 
 func (h *health) loss(now time.Time) float64 {
-	h.fade(now)
+	h.decay(now)
 	return failureLoss * h.failures
 }
--- a/core/balance/limit.go
+++ b/core/balance/limit.go
@@ -9,66 +9,69 @@
 	"cardamomwick.example/core/ratelimit"
 )
 
-// limited is what is known of a server's request limit.
-type limited struct {
+// limitState is the known request limit of a server.
+type limitState struct {
 	ratelimit.Statement
 	bucket ratelimit.Bucket
-	// from told of it; nil when this instance has read it in an answer.
+	// from is the peer that reported the limit; nil if this instance received it from
+	// the server.
 	from *peer
-	// sent counts this instance's requests to the server since it named a limit.
+	// sent counts this instance's requests to the server since it announced a limit.
 	sent int
 }
 
-// LimitChange is a server's limit that has become known.
+// LimitChange is a change of a server's request limit.
 type LimitChange struct {
 	Server, Pool string
 	ratelimit.Limit
-	// From is the instance that told of it, "" when this one has read it in an answer.
+	// From is the instance that reported the limit, or "" if this instance received it
+	// from the server.
 	From string
 }
 
-// mostLimitChanges bounds the changes that wait to be logged.
-const mostLimitChanges = 256
+// maxLimitChanges bounds the number of changes buffered for LimitChanges.
+const maxLimitChanges = 256
 
-// LimitChanges returns what has changed since it was last called.
+// LimitChanges returns the changes since the previous call.
 func (b *Balancer) LimitChanges() []LimitChange {
 	out := b.limitChanges
 	b.limitChanges = nil
 	return out
 }
 
-// HeardLimit takes what an answer of a server says of its request rate.
-func (b *Balancer) HeardLimit(now time.Time, id string, l ratelimit.Limit) {
+// RecordLimit records the request limit announced in an answer of a server.
+func (b *Balancer) RecordLimit(now time.Time, id string, l ratelimit.Limit) {
 	s := b.servers[id]
 	if s == nil || !l.Named && s.limit.Since.IsZero() {
-		return // most servers never name one
+		return // most servers never announce a limit
 	}
 	if s.limit.Hear(now, l) {
-		b.limitChanged(now, s, nil)
+		b.noteLimitChange(now, s, nil)
 	}
 }
 
-// takeLimits takes what other instances have read.
-func (b *Balancer) takeLimits(now time.Time, from *peer, list []counts.Limit) {
+// mergeLimits applies limits reported by another instance.
+func (b *Balancer) mergeLimits(now time.Time, from *peer, list []counts.Limit) {
 	for _, l := range list {
 		if s := b.servers[l.Server]; s != nil && s.limit.Adopt(now, l.Limit, l.Age) {
-			b.limitChanged(now, s, from)
+			b.noteLimitChange(now, s, from)
 		}
 	}
 }
 
-// limitChanged follows a server's new word, told by a peer or read in an answer: nil.
-func (b *Balancer) limitChanged(now time.Time, s *server, from *peer) {
+// noteLimitChange updates the token bucket after a change of a server's limit. from is
+// the reporting peer, or nil if the server announced it to this instance.
+func (b *Balancer) noteLimitChange(now time.Time, s *server, from *peer) {
 	s.limit.from = from
 	switch {
 	case !s.limit.Named:
 		s.limit.bucket = ratelimit.Bucket{}
 	case s.limit.bucket == ratelimit.Bucket{}:
-		s.limit.bucket = ratelimit.NewBucket(now, b.drawn(s.ID))
+		s.limit.bucket = ratelimit.NewBucket(now, b.bucketPhase(s.ID))
 		s.limit.sent = 0
 	}
-	b.touch(s)
-	if len(b.limitChanges) < mostLimitChanges {
+	b.markChanged(s)
+	if len(b.limitChanges) < maxLimitChanges {
 		c := LimitChange{Server: s.ID, Pool: s.Pool, Limit: s.limit.Limit}
 		if from != nil {
 			c.From = from.name
@@ -77,14 +80,16 @@
 	}
 }
 
-// drawn returns a number from [0, 1) that differs from instance to instance and from
-// start to start.
-func (b *Balancer) drawn(server string) float64 {
+// bucketPhase returns the initial fill of a token bucket, from [0, 1). It differs
+// between instances and between starts of an instance, so that their tokens do not
+// become available at the same time.
+func (b *Balancer) bucketPhase(server string) float64 {
 	return float64(score(b.name, server)^uint64(b.firstStream)<<32) / math.MaxUint64
 }
 
-// limitRates returns what tells the requests a second that this instance may send to each
-// limited server of a pool. Nothing is computed where no server is limited.
+// limitRates returns a function that computes the requests per second this instance
+// may send to a limited server of the pool. The share is computed on first use, so
+// pools without limits cost nothing.
 func (b *Balancer) limitRates(now time.Time, poolName string) func(s *server) float64 {
 	share := -1.0
 	return func(s *server) float64 {
@@ -95,7 +100,7 @@
 	}
 }
 
-// limitShare is this instance's part of the limits of a pool's servers.
+// limitShare returns this instance's share of the request limits of a pool's servers.
 func (b *Balancer) limitShare(now time.Time, poolName string) float64 {
 	p := b.pool(poolName)
 	k := ratelimit.Known{Own: p.calls.rate(now), Instances: b.instances}
@@ -108,18 +113,19 @@
 	return p.limitShare.Of(now, k)
 }
 
-// withTokens leaves out the limited servers that this instance may send nothing to now,
-// and with leaveLimited all limited ones. It takes them out of the list itself.
-func (b *Balancer) withTokens(now time.Time, poolName string, list []*server, leaveLimited bool) []*server {
+// filterLimited removes limited servers without an available token, or all limited
+// servers if skipLimited is set. It modifies the list in place.
+func (b *Balancer) filterLimited(now time.Time, poolName string, list []*server, skipLimited bool) []*server {
 	rate := b.limitRates(now, poolName)
 	return slices.DeleteFunc(list, func(s *server) bool {
-		return s.limit.Named && (leaveLimited || s.limit.bucket.Until(now, rate(s)) > 0)
+		return s.limit.Named && (skipLimited || s.limit.bucket.Until(now, rate(s)) > 0)
 	})
 }
 
-// unconfirmed lists the servers whose limits were not heard lately. They get the next call
-// that has a token: placement prefers others for seconds at times, and a limit that has
-// ended would keep a server from work when the others can't take it any more.
+// unconfirmed returns the servers whose limits were not confirmed recently. They get
+// the next call that has a token. Otherwise, while placement prefers other servers, a
+// limit that has ended would not be noticed, and the server would stay unused when the
+// others run out of capacity.
 func unconfirmed(now time.Time, list []*server) []*server {
 	var out []*server
 	for _, s := range list {
@@ -130,7 +136,7 @@
 	return out
 }
 
-// takeToken takes a token of a limited server.
+// takeToken consumes a token if the server is limited.
 func (b *Balancer) takeToken(now time.Time, s *server) {
 	if s.limit.Named {
 		s.limit.bucket.Take(now, b.limitRates(now, s.Pool)(s))
@@ -138,14 +144,14 @@
 	}
 }
 
-// begunToken is the part of a token that is begun at a server on average, and of no use
-// until it is whole.
-const begunToken = 0.5
+// partialToken is the average fraction of a token in a bucket that cannot be used
+// until the token is complete.
+const partialToken = 0.5
 
-// TokenIn returns how long it takes until one of a pool's limited servers takes a call
-// before which others wait, ahead in number. limited is false when there are none, other
-// than the excluded ones.
-func (b *Balancer) TokenIn(now time.Time, poolName string, exclude func(id string) bool, ahead int) (wait time.Duration, limited bool) {
+// TokenWait estimates how long a call has to wait for a limited server of the pool
+// when ahead calls are queued before it. limited is false if there is no limited
+// server other than the excluded ones.
+func (b *Balancer) TokenWait(now time.Time, poolName string, exclude func(id string) bool, ahead int) (wait time.Duration, limited bool) {
 	rate := b.limitRates(now, poolName)
 	var all, tokens float64
 	soonest := time.Duration(math.MaxInt64)
@@ -156,7 +162,7 @@
 		limited = true
 		r := rate(s)
 		all += r
-		tokens += s.limit.bucket.Tokens(now, r) - begunToken
+		tokens += s.limit.bucket.Tokens(now, r) - partialToken
 		soonest = min(soonest, s.limit.bucket.Until(now, r))
 	}
 	if ahead == 0 || !limited {
--- a/core/balance/loss.go
+++ b/core/balance/loss.go
@@ -2,93 +2,95 @@
 
 import "time"
 
-// Weights of the expected loss of placing a call on a server. One is a call
-// that misses its target.
+// Weights of the expected loss of placing a call on a server. A loss of 1 is one
+// call that misses its target.
 const (
-	// safeDelay is the share of a call's target that the expected delay may take
-	// before it weighs.
+	// safeDelay is the fraction of a call's target up to which the expected delay
+	// carries no more than idleSlope.
 	safeDelay = 0.35
-	// delaySlope is the loss per target of delay beyond the safe part, idleSlope
-	// the loss below it, which only breaks ties.
+	// delaySlope is the loss per target of delay beyond safeDelay. idleSlope applies
+	// to the whole delay and serves as a tie-breaker.
 	delaySlope = 1.2
 	idleSlope  = 0.1
-	// rereadTokens is how many tokens of shared parts read again weigh as one
-	// missed call: reading them takes the engine's time from others.
-	rereadTokens = 8000
-	// rankStep keeps to a shared part's ranking beyond its home, so that a part
-	// has few copies.
-	rankStep = 0.02
-	// runningWeight is the loss of a full batch against an empty one. It grows with
-	// the square of what runs: the last slots go while a burst is still growing.
+	// missTokensPerCall is the number of shared tokens processed again that equals one
+	// missed call, since that takes engine time from others.
+	missTokensPerCall = 8000
+	// rankLoss is the loss per rank below the home server. It limits the number of
+	// copies of a shared part.
+	rankLoss = 0.02
+	// runningWeight is the loss of a full batch over an empty one. The loss grows with
+	// the square of the occupancy, because the last slots are taken while a burst is
+	// still growing.
 	runningWeight = 0.8
-	// spreadLoss is the most that chance adds to a server that is not the home of
-	// the call's shared part. All instances see the same counts, some hundred
-	// milliseconds old: when an engine dies, its calls would all go to the same
-	// other one.
-	spreadLoss = 0.3
-	// fullLoss keeps calls off a server whose slots or memory are used up, as long
-	// as another one has room.
+	// jitterLoss is the maximum random loss added to a server that is not the call's
+	// home. All instances see the same counts, some hundred milliseconds old; without
+	// it, the calls of a failed engine would all go to the same other engine.
+	jitterLoss = 0.3
+	// fullLoss keeps calls off a server without free slots or memory while another one
+	// has capacity.
 	fullLoss = 5
-	// slowLoss is the loss of a sensitive stream on an engine that takes twice as
-	// long as the middle one of its pool.
+	// slowLoss is the loss of a sensitive stream on an engine that takes twice as long
+	// as the median of its pool.
 	slowLoss = 2
-	// sensitiveLoss is the loss that a long prompt brings to each sensitive stream
-	// at its engine.
+	// sensitiveLoss is the loss a long prompt causes per sensitive stream on its
+	// engine.
 	sensitiveLoss = 0.05
-	// mostSensitive bounds it: a side that has lost its engines must use the other.
-	mostSensitive = 1.0
-	// offSideHard and offSideSoft are the losses of crossing the boundary, for
-	// calls that harm or are harmed there and for the rest.
-	offSideHard = 0.8
-	offSideSoft = 0.5
-	// crowdTime is the time of other calls' streams that weighs as one missed call:
-	// while an engine reads a prompt, each stream that it runs hardly moves.
-	crowdTime = 10 * time.Second
-	// defaultTarget is taken where the operator declares none.
+	// maxSensitiveLoss bounds that loss, because calls of a side that has lost its
+	// engines must use the other side.
+	maxSensitiveLoss = 1.0
+	// crossLossSensitive is the loss of crossing the boundary for long prompts and
+	// sensitive streams; crossLoss is that for other calls.
+	crossLossSensitive = 0.8
+	crossLoss          = 0.5
+	// stallTimePerCall is the total stall of other streams that equals one missed
+	// call: while an engine processes a prompt, each of its running streams makes
+	// almost no progress.
+	stallTimePerCall = 10 * time.Second
+	// defaultTarget applies to calls without a configured target.
 	defaultTarget = time.Second
 )
 
-// loss estimates what is lost by placing a call on a server that has the given
-// place in the ranking of the call's shared part.
+// loss estimates the loss of placing a call on a server with the given rank.
 func (p *pool) loss(now time.Time, s *server, c request, rank int) float64 {
 	l := s.load()
 	loss := s.health.loss(now)
-	own := p.unreadAt(now, s, c, rank == 0)
-	// A part that nobody keeps has to be read at its home, wherever the call comes.
-	if own > float64(c.Unshared) && (c.known || rank != 0) {
-		loss += (own - float64(c.Unshared)) / rereadTokens
+	own := p.prefillTokens(now, s, c, rank == 0)
+	// A part that is not cached anywhere has to be processed at its home server in any
+	// case, so the home is not penalized for it.
+	if own > float64(c.Unshared) && (c.cached || rank != 0) {
+		loss += (own - float64(c.Unshared)) / missTokensPerCall
 	}
 	if rank != 0 {
-		loss += rankStep * float64(max(rank, 1))
+		loss += rankLoss * float64(max(rank, 1))
 	}
 	unread := float64(l.Unread) + own
-	if rank == offSide {
-		loss += c.offSideLoss(l)
+	if rank == otherSide {
+		loss += c.crossingLoss(l)
 	}
-	delay := time.Duration(s.slowness * float64(p.speed.time(unread)))
+	delay := time.Duration(s.slowness * float64(p.speed.prefillTime(unread)))
 	loss += delayLoss(delay, c.target())
-	loss += float64(l.Running) * s.slowness * p.speed.time(own).Seconds() / crowdTime.Seconds()
+	loss += float64(l.Running) * s.slowness * p.speed.prefillTime(own).Seconds() / stallTimePerCall.Seconds()
 	if c.sensitive() {
 		loss += slowLoss * (s.slowness - 1)
 	}
-	return loss + roomLoss(now, p, s, c.Call, l)
+	return loss + occupancyLoss(now, p, s, c.Call, l)
 }
 
-// offSideLoss is the loss of crossing the boundary: a long prompt delays the
-// events of the sensitive streams there, and long prompts delay a sensitive
-// stream. Other short calls only lose time.
-func (c *Call) offSideLoss(l Load) float64 {
+// crossingLoss is the loss of crossing the boundary. A long prompt delays the events
+// of sensitive streams on the short side, and long prompts delay a sensitive stream on
+// the long side. Other short calls only lose time.
+func (c *Call) crossingLoss(l Load) float64 {
 	switch {
-	case c.Tokens >= LongPrompt:
-		return offSideHard + min(mostSensitive, sensitiveLoss*float64(l.Sensitive))
+	case c.Tokens >= LongPromptTokens:
+		return crossLossSensitive + min(maxSensitiveLoss, sensitiveLoss*float64(l.Sensitive))
 	case c.sensitive():
-		return offSideHard
+		return crossLossSensitive
 	}
-	return offSideSoft
+	return crossLoss
 }
 
-// roomLoss keeps calls off servers without room.
-func roomLoss(now time.Time, p *pool, s *server, c Call, l Load) float64 {
+// occupancyLoss is the loss of placing a call on an occupied or full server.
+func occupancyLoss(now time.Time, p *pool, s *server, c Call, l Load) float64 {
 	loss := 0.0
 	if s.Slots > 0 {
 		used := float64(l.Running) / float64(s.Slots)
@@ -100,10 +102,10 @@
 	return loss
 }
 
-// delayLoss is at most a missed call, and a little more for each further target
-// of delay. Where all engines are behind, a call must not leave the home of its
-// shared part for one that is behind a little less: reading the part again costs
-// all of them more than that gains.
+// delayLoss is at most one missed call, plus a little for each further target of
+// delay. When all engines are backlogged, a call should not leave its home for an
+// engine that is slightly less so: processing its shared part again costs all calls
+// more than that gains.
 func delayLoss(delay, target time.Duration) float64 {
 	x := delay.Seconds() / target.Seconds()
 	return idleSlope*x + min(1, delaySlope*max(0, x-safeDelay))
--- a/core/balance/meter.go
+++ b/core/balance/meter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// rateTime is the time constant of the arriving work: bursts last seconds.
-const rateTime = 1500 * time.Millisecond
+// rateTimeConstant is the time constant of arrival rates; bursts last seconds.
+const rateTimeConstant = 1500 * time.Millisecond
 
 // meter is an exponentially decaying rate per second.
 type meter struct {
@@ -16,14 +16,14 @@
 
 func (m *meter) decay(now time.Time) {
 	if !m.at.IsZero() {
-		m.value *= math.Exp(-now.Sub(m.at).Seconds() / rateTime.Seconds())
+		m.value *= math.Exp(-now.Sub(m.at).Seconds() / rateTimeConstant.Seconds())
 	}
 	m.at = now
 }
 
 func (m *meter) add(now time.Time, amount float64) {
 	m.decay(now)
-	m.value += amount / rateTime.Seconds()
+	m.value += amount / rateTimeConstant.Seconds()
 }
 
 func (m *meter) rate(now time.Time) float64 {
--- a/core/balance/needs.go
+++ b/core/balance/needs.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// Limits of what an engine is asked for, by which needs are counted. Replayed with
-// three times too many long prompts, a short side that may read for 0.6 of its time
-// has three times as many late chats.
+// Target utilization of an engine, used to compute the number of engines each side
+// needs.
 const (
-	// shortDuty and longDuty are the parts of an engine's time that may go into
-	// reading prompts on each side. Short calls have targets of some hundred
-	// milliseconds, so that little may queue; on the long side streams still have
-	// to end within their time while prompts are read between their tokens.
-	shortDuty = 0.45
-	longDuty  = 0.7
-	// shortSlots and longSlots are the parts of the slots that the calls of each
-	// side may fill. Where engines have few slots, these and not the reading decide
-	// how many engines chats need: with 0.6 of 12 slots, long prompts are refused while
-	// engines kept for chats have five slots free; from 0.8 on, a replayed overload
-	// makes a sixth of the chats late instead of a twelfth.
-	shortSlots = 0.7
-	longSlots  = 0.75
-	// mostPiled bounds what running calls make the long side need against what its
-	// reading does. Long prompts that pile up on a side that is behind must not make
-	// it look ever more needy: that took all engines away from the chats.
-	mostPiled = 1.5
-	// lingerShare of a long prompt counts for the short side while it runs there, on an
-	// engine that has changed sides: its slot is taken. Counted whole, these streams
-	// made the short side look ever more needy until they ended, and took nearly all
-	// engines from the long prompts; not at all, chats lacked slots.
-	lingerShare = 0.5
-	// backlogShare of a call's target is the time in which a side should have read
-	// what waits there. A rate alone sees a burst of prompts whose shared parts
-	// nobody has read yet as a quarter of what it is: for 7 s six of twelve engines
-	// kept prompts waiting for 0.6 to 1.4 s beside six that were nearly idle.
-	backlogShare = 0.5
+	// maxShortPrefill and maxLongPrefill are the target fractions of an engine's time
+	// spent on prefill on each side. Short calls have targets of a few hundred
+	// milliseconds, so only little may queue: with 0.6 instead of 0.45, a replay with
+	// three times too many long prompts has three times as many late chats. On the
+	// long side, streams must still finish in time while prompts are processed between
+	// their tokens.
+	maxShortPrefill = 0.45
+	maxLongPrefill  = 0.7
+	// maxShortSlotUse and maxLongSlotUse are the target fractions of the slots in use
+	// on each side. For engines with few slots, they determine how many engines chats
+	// need. With 0.6 of 12 slots, long prompts are refused while engines reserved for
+	// chats have five free slots; from 0.8 on, a replayed overload makes a sixth of
+	// the chats late instead of a twelfth.
+	maxShortSlotUse = 0.7
+	maxLongSlotUse  = 0.75
+	// maxSlotNeedFactor bounds the long side's need by running calls relative to its
+	// need by prefill. Otherwise, long prompts that pile up on a backlogged side
+	// increase its need until it takes all engines from the chats.
+	maxSlotNeedFactor = 1.5
+	// misplacedLongWeight is the weight, in the short side's need, of a long prompt
+	// that still runs on an engine moved to the short side and occupies a slot there.
+	// With weight 1, these streams drove the short side's need up until they ended and
+	// took nearly all engines from long prompts; with weight 0, chats lacked slots.
+	misplacedLongWeight = 0.5
+	// backlogTargetShare is the fraction of the calls' target within which a side
+	// should be able to process its backlog. The arrival rate shows only a quarter of
+	// a burst whose shared parts are not cached yet: without the backlog, six of
+	// twelve engines delayed prompts by 0.6 to 1.4 s for 7 s while the other six were
+	// nearly idle.
+	backlogTargetShare = 0.5
 )
 
-// needs returns how many engines each side needs for what arrives and runs.
+// needs returns how many engines each side needs for the arriving and running calls.
 func (b *Balancer) needs(now time.Time, p *pool, poolName string) (short, long float64) {
 	var all, onLong Load
-	lingering := 0.0
+	misplacedLong := 0.0
 	slots := 0
 	for _, e := range p.servers {
 		slots = max(slots, e.Slots)
@@ -46,34 +48,34 @@
 		if e.long {
 			onLong.Add(e.load())
 		} else {
-			lingering += lingerShare * float64(e.load().Long)
+			misplacedLong += misplacedLongWeight * float64(e.load().Long)
 		}
 	}
 	rates := b.rates(now, p, poolName)
-	shortReading := rates.Short / (p.speed.value() * shortDuty)
-	longReading := max(rates.Long/(p.speed.value()*longDuty), p.backlogNeed(onLong, p.sides.longTarget))
-	short = max(shortReading, slotNeed(float64(all.Running-all.Long)+lingering, shortSlots, slots))
-	long = max(longReading, min(slotNeed(float64(all.Long), longSlots, slots), mostPiled*longReading+1))
+	shortPrefill := rates.Short / (p.speed.value() * maxShortPrefill)
+	longPrefill := max(rates.Long/(p.speed.value()*maxLongPrefill), p.backlogNeed(onLong, p.sides.meanLongTarget))
+	short = max(shortPrefill, slotNeed(float64(all.Running-all.Long)+misplacedLong, maxShortSlotUse, slots))
+	long = max(longPrefill, min(slotNeed(float64(all.Long), maxLongSlotUse, slots), maxSlotNeedFactor*longPrefill+1))
 	return short, long
 }
 
-// backlogNeed returns how many engines it takes to read what waits on a side in
-// time.
+// backlogNeed returns how many engines are needed to process a side's backlog in time.
 func (p *pool) backlogNeed(l Load, target time.Duration) float64 {
 	if target <= 0 {
 		return 0
 	}
-	return p.speed.time(float64(l.Unread)).Seconds() / (backlogShare * target.Seconds())
+	return p.speed.prefillTime(float64(l.Unread)).Seconds() / (backlogTargetShare * target.Seconds())
 }
 
-// rates is what arrives for a pool at all instances.
+// rates returns the arrival rates of a pool over all instances.
 func (b *Balancer) rates(now time.Time, p *pool, poolName string) Rates {
 	return b.ratesOf(now, p, poolName, func(*peer) bool { return true })
 }
 
-// ratesOf is what arrives for a pool here and at the chosen peers.
+// ratesOf returns the arrival rates of a pool at this instance and at the peers that
+// chosen accepts.
 func (b *Balancer) ratesOf(now time.Time, p *pool, poolName string, chosen func(x *peer) bool) Rates {
-	sum := Rates{Long: p.sides.long.rate(now), Short: p.sides.short.rate(now), Reading: p.speed.own, Calls: p.calls.rate(now)}
+	sum := Rates{Long: p.sides.long.rate(now), Short: p.sides.short.rate(now), Speed: p.speed.own, Calls: p.calls.rate(now)}
 	for _, x := range b.peers {
 		if x.fresh(now) && chosen(x) {
 			sum.add(x.rates[poolName])
@@ -82,8 +84,8 @@
 	return sum
 }
 
-// slotNeed returns how many engines it takes to run so many calls in the given part
-// of their slots.
+// slotNeed returns how many engines are needed to run the calls with the given share
+// of slots in use.
 func slotNeed(running float64, share float64, slots int) float64 {
 	if slots == 0 {
 		return 0
--- a/core/balance/pace.go
+++ b/core/balance/pace.go
@@ -5,47 +5,46 @@
 	"time"
 )
 
-// Limits of the learned pace.
+// Pace estimation parameters.
 const (
-	// paceBuckets of paceBucket each are looked back: longer than a burst, in which
-	// every stream is slowed by the prompts that its engine reads meanwhile.
+	// paceBuckets of length paceBucket form the observation window. It must be longer
+	// than a burst, during which every stream is slowed by the prompts that its engine
+	// processes.
 	paceBuckets = 4
 	paceBucket  = 8 * time.Second
-	// leastEvents is how many events a stream must have to tell the pace.
-	leastEvents = 8
-	// leastOfUsual bounds an observation against the pool's usual one: events that
-	// were held up on the way arrive all at once.
-	leastOfUsual = 0.5
-	// usualWeight is the weight of an observation in the pool's usual one.
-	usualWeight = 0.02
-	// slowest bounds the slowness.
-	slowest = 1.5
-	// pacePeriod is how often slowness is computed anew.
+	// minStreamEvents is the number of events a stream must have to be used.
+	minStreamEvents = 8
+	// minIntervalRatio bounds an observation from below, relative to the pool's usual
+	// interval: events delayed in transit arrive all at once.
+	minIntervalRatio = 0.5
+	// intervalWeight is the weight of an observation in the pool's usual interval.
+	intervalWeight = 0.02
+	maxSlowness    = 1.5
+	// pacePeriod is the interval at which slowness is recomputed.
 	pacePeriod = 500 * time.Millisecond
-	// slowFrom is the pace, against the pool's middle one, from which an engine is slow,
-	// fastUpTo the one up to which it is so no more. Slow engines take long prompts
-	// first: where they read prompts without a pause, their events come too late
-	// for a chat.
-	slowFrom = 1.18
-	fastUpTo = 1.1
+	// slowThreshold is the slowness at which an engine becomes slow, and fastThreshold
+	// the one at which it ceases to be. Slow engines take long prompts first: while
+	// they process prompts continuously, their events are too late for a chat.
+	slowThreshold = 1.18
+	fastThreshold = 1.1
 )
 
-// pace is the time from one event of a stream to the next at one engine that
-// reads few prompts meanwhile: the least that its streams have shown lately.
+// pace estimates the time between two events of a stream on an engine with little
+// prefill running: the minimum observed in the window.
 type pace struct {
 	perEvent time.Duration
-	least    [paceBuckets]time.Duration
+	minima   [paceBuckets]time.Duration
 	bucket   int64
 }
 
 func (p *pace) observe(now time.Time, seen time.Duration) {
 	p.advance(now)
-	at := &p.least[p.bucket%paceBuckets]
+	at := &p.minima[p.bucket%paceBuckets]
 	if *at == 0 || seen < *at {
 		*at = seen
 	}
 	p.perEvent = 0
-	for _, x := range p.least {
+	for _, x := range p.minima {
 		if x > 0 && (p.perEvent == 0 || x < p.perEvent) {
 			p.perEvent = x
 		}
@@ -55,53 +54,53 @@
 func (p *pace) advance(now time.Time) {
 	bucket := now.UnixNano() / int64(paceBucket)
 	if bucket-p.bucket >= paceBuckets {
-		p.least = [paceBuckets]time.Duration{}
+		p.minima = [paceBuckets]time.Duration{}
 		p.bucket = bucket
 	}
 	for ; p.bucket < bucket; p.bucket++ {
-		p.least[(p.bucket+1)%paceBuckets] = 0
+		p.minima[(p.bucket+1)%paceBuckets] = 0
 	}
 }
 
-// Streamed notes the times between the events of a whole stream that a server has
-// sent. It sorts them.
-func (b *Balancer) Streamed(now time.Time, t *Ticket, gaps []time.Duration) {
+// RecordStream records the gaps between the events of a complete stream. It sorts
+// gaps.
+func (b *Balancer) RecordStream(now time.Time, t *Ticket, gaps []time.Duration) {
 	s := b.servers[t.server]
 	if s == nil {
 		return
 	}
 	if t.long() {
-		b.pool(s.Pool).streams.noteEnd(len(gaps))
+		b.pool(s.Pool).streams.observeLength(len(gaps))
 	}
-	if len(gaps) < leastEvents {
+	if len(gaps) < minStreamEvents {
 		return
 	}
 	slices.Sort(gaps)
 	seen := gaps[len(gaps)/4]
 	p := b.pool(s.Pool)
-	p.usual = smooth(p.usual, seen, usualWeight)
-	b.touch(s)
-	s.pace.observe(now, max(seen, time.Duration(leastOfUsual*float64(p.usual))))
+	p.usualInterval = ewma(p.usualInterval, seen, intervalWeight)
+	b.markChanged(s)
+	s.pace.observe(now, max(seen, time.Duration(minIntervalRatio*float64(p.usualInterval))))
 }
 
-// perEvent is an engine's pace as all instances know it; zero when unknown.
+// perEvent returns an engine's pace averaged over all instances; zero if unknown.
 func (b *Balancer) perEvent(s *server) time.Duration {
 	sum := s.ownRow().Pace
-	sum.Add(s.others.Pace)
+	sum.Add(s.peerRow.Pace)
 	if sum.Instances == 0 {
 		return 0
 	}
 	return time.Duration(sum.Microseconds/sum.Instances) * time.Microsecond
 }
 
-// refreshPaces computes each engine's slowness once for many placements: its
-// pace against the middle one of its pool, 1 when unknown. The middle one is not
-// moved by a single odd measurement, as the best one is.
+// refreshPaces periodically recomputes each engine's slowness, the ratio of its pace
+// to the median of its pool; 1 if unknown. Unlike the minimum, the median is not
+// affected by a single outlier.
 func (b *Balancer) refreshPaces(now time.Time) {
-	if now.Sub(b.pacedAt) < pacePeriod {
+	if now.Sub(b.pacesComparedAt) < pacePeriod {
 		return
 	}
-	b.pacedAt = now
+	b.pacesComparedAt = now
 	for _, p := range b.pools {
 		b.comparePaces(p)
 	}
@@ -120,13 +119,13 @@
 		return
 	}
 	slices.Sort(known)
-	middle := known[(len(known)-1)/2]
+	median := known[(len(known)-1)/2]
 	for i, s := range p.servers {
-		s.slowness = max(1, min(slowest, float64(paces[i])/float64(middle)))
+		s.slowness = max(1, min(maxSlowness, float64(paces[i])/float64(median)))
 		switch {
-		case s.slowness >= slowFrom:
+		case s.slowness >= slowThreshold:
 			s.slow = true
-		case s.slowness <= fastUpTo:
+		case s.slowness <= fastThreshold:
 			s.slow = false
 		}
 	}
--- a/core/balance/parts_test.go
+++ b/core/balance/parts_test.go
@@ -8,122 +8,123 @@
 	"cardamomwick.example/core/fleet"
 )
 
-// longCall is a long prompt with a shared part.
+// longCall returns a long prompt with a shared part.
 func longCall(part string) Call {
-	return Call{Tokens: 9200, Unshared: 2900, MaxOutput: 60, Target: 800 * time.Millisecond, Gap: 500 * time.Millisecond, Home: part}
+	return Call{Tokens: 9200, Unshared: 2900, MaxOutput: 60, Target: 800 * time.Millisecond, Gap: 500 * time.Millisecond, AffinityKey: part}
 }
 
-// seasoned is a pool whose parts have been followed for long enough, and the time then.
-func seasoned() (*Balancer, []fleet.Server, time.Time) {
+// poolWithCacheView returns a pool whose parts have been tracked for long enough, and
+// the current time.
+func poolWithCacheView() (*Balancer, []fleet.Server, time.Time) {
 	b, list := pool12()
 	b.SumTo(t0, "other")
-	return b, list, t0.Add(2 * seasonTime)
+	return b, list, t0.Add(2 * cacheViewDelay)
 }
 
-// Another instance gave a part to an engine that is not its home, when the home was
-// behind. A call with the part follows it there, as soon as that was told.
-func TestCallsFollowAPartThatOthersPlaced(t *testing.T) {
+// When the home server of a part is backlogged, another instance places the part
+// elsewhere. Calls with the part must follow once that use is reported.
+func TestCallsFollowPartPlacedByPeer(t *testing.T) {
 	a, list := pool12()
 	b := New("b", 1)
 	b.SetFleet(list)
 	b.SetEngines("p", 500_000, 0)
 	c := longCall("s")
-	home, _ := a.Choose(t0, "p", c, nil, middle)
-	elsewhere, _ := a.Choose(t0, "p", c, func(id string) bool { return id == home.ID }, middle)
+	home, _ := a.Choose(t0, "p", c, nil, fixedRandom)
+	elsewhere, _ := a.Choose(t0, "p", c, func(id string) bool { return id == home.ID }, fixedRandom)
 	ticket := a.Start(t0, elsewhere.ID, c)
-	a.Began(t0.Add(100*time.Millisecond), &ticket)
+	a.RecordFirstEvent(t0.Add(100*time.Millisecond), &ticket)
 	a.End(ticket)
 	now := t0.Add(200 * time.Millisecond)
-	if got, _ := b.Choose(now, "p", c, nil, middle); got.ID != home.ID {
-		t.Fatalf("before it was told, another instance takes %s, not the home %s", got.ID, home.ID)
+	if got, _ := b.Choose(now, "p", c, nil, fixedRandom); got.ID != home.ID {
+		t.Fatalf("before the report, another instance selects %s, not the home server %s", got.ID, home.ID)
 	}
-	tell(now, a, b)
-	if got, _ := b.Choose(now, "p", c, nil, middle); got.ID != elsewhere.ID {
-		t.Errorf("the part is at %s, and the call goes to %s", elsewhere.ID, got.ID)
+	sendSum(now, a, b)
+	if got, _ := b.Choose(now, "p", c, nil, fixedRandom); got.ID != elsewhere.ID {
+		t.Errorf("the part is cached on %s, the call was placed on %s", elsewhere.ID, got.ID)
 	}
 }
 
-// Nobody has read the parts of a burst yet: what waits must count whole, and the
-// next calls with a part only their own tokens.
-func TestFirstUseOfAPartCountsWhole(t *testing.T) {
-	b, list, now := seasoned()
+// While no server has the parts of a burst cached, the backlog must include them in
+// full; further calls with the same part add only their own tokens.
+func TestFirstUseOfPartCountsInFull(t *testing.T) {
+	b, list, now := poolWithCacheView()
 	c := longCall("s")
-	s, _ := b.Choose(now, "p", c, nil, middle)
+	s, _ := b.Choose(now, "p", c, nil, fixedRandom)
 	first := b.Start(now, s.ID, c)
 	second := b.Start(now, s.ID, c)
 	if first.load.Unread != c.Tokens || second.load.Unread != c.Unshared {
-		t.Errorf("unread are %d and %d, want %d and %d", first.load.Unread, second.load.Unread, c.Tokens, c.Unshared)
+		t.Errorf("unread tokens are %d and %d, want %d and %d", first.load.Unread, second.load.Unread, c.Tokens, c.Unshared)
 	}
 	b.SetFleet(append([]fleet.Server{{ID: s.ID + "@2", Name: s.ID, Born: 2, Pool: "p", Slots: 64}}, list[:3]...))
 	again := b.Start(now, s.ID+"@2", c)
 	if again.load.Unread != c.Tokens {
-		t.Errorf("an engine that has started again is taken to keep the part: %d unread", again.load.Unread)
+		t.Errorf("a restarted engine is assumed to have the part cached: %d unread", again.load.Unread)
 	}
 }
 
-func TestPartsAreForgottenInTime(t *testing.T) {
-	b, _, now := seasoned()
+func TestPartsExpire(t *testing.T) {
+	b, _, now := poolWithCacheView()
 	c := longCall("s")
-	s, _ := b.Choose(now, "p", c, nil, middle)
+	s, _ := b.Choose(now, "p", c, nil, fixedRandom)
 	b.Start(now, s.ID, c)
-	now = now.Add(2 * mostHeld)
-	b.Choose(now, "p", c, nil, middle)
+	now = now.Add(2 * maxCacheLifetime)
+	b.Choose(now, "p", c, nil, fixedRandom)
 	if ticket := b.Start(now, s.ID, c); ticket.load.Unread != c.Tokens {
-		t.Errorf("a part that was not used for %v counts as kept", 2*mostHeld)
+		t.Errorf("a part that was not used for %v counts as cached", 2*maxCacheLifetime)
 	}
 }
 
-func TestFollowedPartsAreBounded(t *testing.T) {
-	var p parts
-	for i := range 3 * keptParts {
-		p.use(t0, keyOf(fmt.Sprint(i)))
+func TestTrackedPartsAreBounded(t *testing.T) {
+	var p partCache
+	for i := range 3 * maxTrackedParts {
+		p.recordUse(t0, keyOf(fmt.Sprint(i)))
 	}
-	if len(p.used) > keptParts {
-		t.Errorf("%d parts are followed at one server", len(p.used))
+	if len(p.used) > maxTrackedParts {
+		t.Errorf("%d parts are tracked for one server", len(p.used))
 	}
 }
 
-// Two parts in a row: a server that keeps only the first one has to read the second,
-// and one that keeps only the second has to read both.
-func TestPartsCountOnlyBehindThoseBefore(t *testing.T) {
-	var p parts
-	chain := []keyedPart{{keyOf("common"), 2500}, {keyOf("own"), 3800}}
+// With two parts in a chain, a server that has only the first cached must process the
+// second, and one that has only the second cached must process both.
+func TestPartNeedsAllEarlierParts(t *testing.T) {
+	var p partCache
+	chain := []hashedPart{{keyOf("common"), 2500}, {keyOf("own"), 3800}}
 	if got := p.missing(t0, chain, time.Minute); got != 6300 {
-		t.Errorf("nothing is kept: %d missing", got)
+		t.Errorf("nothing is cached: %d missing", got)
 	}
-	p.use(t0, keyOf("own"))
+	p.recordUse(t0, keyOf("own"))
 	if got := p.missing(t0, chain, time.Minute); got != 6300 {
-		t.Errorf("the first part is not kept: %d missing", got)
+		t.Errorf("the first part is not cached: %d missing", got)
 	}
-	p.use(t0, keyOf("common"))
+	p.recordUse(t0, keyOf("common"))
 	if got := p.missing(t0, chain, time.Minute); got != 0 {
-		t.Errorf("both are kept: %d missing", got)
+		t.Errorf("both are cached: %d missing", got)
 	}
-	var first parts
-	first.use(t0, keyOf("common"))
+	var first partCache
+	first.recordUse(t0, keyOf("common"))
 	if got := first.missing(t0, chain, time.Minute); got != 3800 {
-		t.Errorf("only the first part is kept: %d missing", got)
+		t.Errorf("only the first part is cached: %d missing", got)
 	}
 }
 
-// While the long side has no reading to spare, a long prompt waits where its parts
-// are kept, however far behind that engine is.
-func TestPartsAreNotReadAgainWhenReadingIsShort(t *testing.T) {
-	b, _, now := seasoned()
-	kept := longCall("kept")
-	first, _ := b.Choose(now, "p", kept, nil, middle)
-	b.Start(now, first.ID, kept)
+// While the long side has no spare prefill capacity, a long prompt must wait for a
+// server that has its parts cached, however long that server's backlog is.
+func TestLongPromptsStayWithCacheUnderLoad(t *testing.T) {
+	b, _, now := poolWithCacheView()
+	cached := longCall("kept")
+	first, _ := b.Choose(now, "p", cached, nil, fixedRandom)
+	b.Start(now, first.ID, cached)
 	for i := range 300 {
 		c := longCall(fmt.Sprint(i))
 		now = now.Add(3 * time.Millisecond)
-		b.Arrive(now, "p", c)
-		s, _ := b.Choose(now, "p", c, nil, middle)
+		b.RecordArrival(now, "p", c)
+		s, _ := b.Choose(now, "p", c, nil, fixedRandom)
 		b.Start(now, s.ID, c)
 	}
-	if b.pool("p").use < busyUse {
-		t.Fatalf("the use is %.2f only", b.pool("p").use)
+	if b.pool("p").longLoad < busyUtilization {
+		t.Fatalf("the long side's load is only %.2f", b.pool("p").longLoad)
 	}
-	if got, _ := b.Choose(now, "p", kept, nil, middle); got.ID != first.ID {
-		t.Errorf("the part is kept at %s, and the call goes to %s", first.ID, got.ID)
+	if got, _ := b.Choose(now, "p", cached, nil, fixedRandom); got.ID != first.ID {
+		t.Errorf("the part is cached on %s, the call was placed on %s", first.ID, got.ID)
 	}
 }
--- a/core/balance/peers.go
+++ b/core/balance/peers.go
@@ -11,32 +11,35 @@
 	name string
 	in   counts.Receiver
 	out  counts.Sender
-	// made is when the exchange began, at when its counts last came; zero before.
-	made, at time.Time
-	kind     counts.Kind
-	level    uint8
-	// bySlot are its counts at the servers that this instance knows.
+	// createdAt is when the exchange began; updatedAt is when the peer's counts were
+	// last received, or zero.
+	createdAt, updatedAt time.Time
+	kind                 counts.Kind
+	level                uint8
+	// bySlot holds the peer's counts by slot, for servers known to this instance.
 	bySlot []counts.Row
-	// unknown are the numbers, by ID, of the servers that it told of and that this
-	// instance does not know.
+	// unknown maps the IDs of servers that this instance does not know to their
+	// numbers in the peer's stream.
 	unknown map[string]int
-	// running are its calls at all of them.
-	running    int
-	rates      map[string]Rates
-	boundaries map[string]counts.Boundary
-	decides    bool
-	// age is how old its counts were when it told them.
-	age time.Duration
-	// usesTold is the number of uses it need not be told.
-	usesTold uint64
+	// running is the number of the peer's calls on known servers.
+	running           int
+	rates             map[string]Rates
+	boundaries        map[string]counts.Boundary
+	decidesBoundaries bool
+	// reportedAge is the age of the counts when the peer sent them.
+	reportedAge time.Duration
+	// nextUse is the sequence number of the next part use to send to the peer.
+	nextUse uint64
 }
 
-func (p *peer) fresh(now time.Time) bool { return !p.at.IsZero() && now.Sub(p.at) < peerTime }
+func (p *peer) fresh(now time.Time) bool {
+	return !p.updatedAt.IsZero() && now.Sub(p.updatedAt) < peerTTL
+}
 
-// member reports whether this instance answers the peer's counts.
-func (p *peer) member() bool { return p.kind == counts.FromMember && !p.at.IsZero() }
+// member reports whether the peer reports to this instance and receives its answers.
+func (p *peer) member() bool { return p.kind == counts.FromMember && !p.updatedAt.IsZero() }
 
-// row is what the peer has at the server of a slot.
+// row returns the peer's counts for the server in a slot.
 func (p *peer) row(slot int) counts.Row {
 	if slot >= len(p.bySlot) {
 		return counts.Row{}
@@ -44,97 +47,100 @@
 	return p.bySlot[slot]
 }
 
-// peer returns the state of the exchange with an instance.
+// peer returns the exchange state for an instance, creating it if needed.
 func (b *Balancer) peer(now time.Time, name string) *peer {
 	p := b.peers[name]
 	if p == nil {
-		p = &peer{name: name, made: now, usesTold: b.uses.before(now.Add(-usesWindow))}
+		p = &peer{name: name, createdAt: now, nextUse: b.uses.firstAfter(now.Add(-usesBacklog))}
 		b.peers[name] = p
 	}
 	return p
 }
 
-// counted reports whether a peer's counts are part of what this instance reports
-// upwards. Only members further down are: two instances that report to each other by
-// different views of the membership would add up each other's counts for ever.
-func (b *Balancer) counted(p *peer) bool { return p.member() && p.level < b.level }
+// inSubtree reports whether a peer's counts are included in this instance's reports.
+// Only members of a lower level are: two instances that report to each other because
+// their views of the membership differ would otherwise add up each other's counts
+// without end.
+func (b *Balancer) inSubtree(p *peer) bool { return p.member() && p.level < b.level }
 
-// SetInstances takes how many instances place calls, this one included.
+// SetInstances sets the number of instances that place calls, including this one.
 func (b *Balancer) SetInstances(n int) { b.instances = n }
 
-// SetLevel takes this instance's place in the tree of collectors.
+// SetLevel sets this instance's level in the tree of collectors.
 func (b *Balancer) SetLevel(level uint8) {
 	if level != b.level {
 		b.level = level
-		b.recount()
+		b.recomputeSums()
 	}
 }
 
-// Take takes a message of another instance.
-func (b *Balancer) Take(now time.Time, m *counts.Message) {
+// Receive processes a message of another instance.
+func (b *Balancer) Receive(now time.Time, m *counts.Message) {
 	p := b.peer(now, m.Name)
 	p.out.Heard(m.Heard)
 	u, ok := p.in.Take(m)
-	moved := ok && (p.at.IsZero() || p.kind != m.Kind || p.level != m.Level)
+	moved := ok && (p.updatedAt.IsZero() || p.kind != m.Kind || p.level != m.Level)
 	if ok {
-		p.at, p.kind, p.level, p.decides = now, m.Kind, m.Level, m.Decides
-		p.age = time.Duration(m.AgeMillis) * time.Millisecond
+		p.updatedAt, p.kind, p.level, p.decidesBoundaries = now, m.Kind, m.Level, m.Decides
+		p.reportedAge = time.Duration(m.AgeMillis) * time.Millisecond
 		p.rates = ratesOf(m.Rates)
 	}
 	if ok && p.kind == counts.Answer {
-		b.leaveOthers(p)
+		b.dropOtherSources(p)
 	}
-	b.takeRows(p, u, moved)
-	b.shareSpeeds()
-	b.takeUses(now, p, u.Uses)
-	b.takeLimits(now, p, u.Limits)
+	b.applyRows(p, u, moved)
+	b.aggregateSpeeds()
+	b.applyUses(now, p, u.Uses)
+	b.mergeLimits(now, p, u.Limits)
 	if u.Begun || u.Boundaries != nil {
 		p.boundaries = boundariesOf(u.Boundaries)
 	}
-	b.begin(now, p.boundaries)
+	b.adoptBoundaries(now, p.boundaries)
 }
 
-// takeRows takes what has changed at the servers; moved: the peer has another place
-// among the collectors than before.
-func (b *Balancer) takeRows(p *peer, u counts.Update, moved bool) {
+// applyRows applies changed counts. moved is set if the peer's position among the
+// collectors has changed.
+func (b *Balancer) applyRows(p *peer, u counts.Update, moved bool) {
 	if u.Begun || moved {
-		b.recount()
+		b.recomputeSums()
 		return
 	}
 	for _, number := range u.Changed {
-		b.takeRow(p, number)
+		b.applyRow(p, number)
 	}
 }
 
-// takeRow takes what a peer has at the server with a number of its stream.
-func (b *Balancer) takeRow(p *peer, number int) {
+// applyRow applies the peer's counts for the server with the given number in its
+// stream.
+func (b *Balancer) applyRow(p *peer, number int) {
 	id, row := p.in.Server(number)
 	if s := b.servers[id]; s != nil {
 		b.setRow(p, s, row)
 		return
 	}
-	p.noteUnknown(id, number)
+	p.recordUnknown(id, number)
 }
 
-// takeUses notes which shared parts were given to servers elsewhere.
-func (b *Balancer) takeUses(now time.Time, from *peer, list []counts.Use) {
+// applyUses records which shared parts other instances sent to servers.
+func (b *Balancer) applyUses(now time.Time, from *peer, list []counts.Use) {
 	for _, use := range list {
 		s := b.servers[use.Server]
 		if s == nil {
 			continue
 		}
-		b.pool(s.Pool).noteHolder(use.Part, s)
-		if s.parts.use(now, use.Part) {
+		b.pool(s.Pool).recordHolder(use.Part, s)
+		if s.parts.recordUse(now, use.Part) {
 			b.uses.add(now, from, use)
 		}
 	}
 }
 
-// leaveOthers forgets whom this instance heard of the others before: a collector's
-// answer holds everything but its own counts and those of its members.
-func (b *Balancer) leaveOthers(collector *peer) {
+// dropOtherSources drops all peers that are neither the collector nor members: the
+// collector's answer already contains all counts except this instance's own and those
+// of its members.
+func (b *Balancer) dropOtherSources(collector *peer) {
 	for name, p := range b.peers {
-		if p != collector && !p.at.IsZero() && !p.member() {
+		if p != collector && !p.updatedAt.IsZero() && !p.member() {
 			b.drop(name, p)
 		}
 	}
@@ -143,7 +149,7 @@
 func ratesOf(list []counts.Rates) map[string]Rates {
 	out := make(map[string]Rates, len(list))
 	for _, x := range list {
-		out[x.Pool] = Rates{Long: float64(x.Long), Short: float64(x.Short), Reading: Reading{Sum: float64(x.ReadingSum), Calls: float64(x.ReadingCalls)}, Calls: float64(x.Calls)}
+		out[x.Pool] = Rates{Long: float64(x.Long), Short: float64(x.Short), Speed: SpeedSample{Sum: float64(x.ReadingSum), Calls: float64(x.ReadingCalls)}, Calls: float64(x.Calls)}
 	}
 	return out
 }
@@ -156,99 +162,99 @@
 	return out
 }
 
-// setRow takes what a peer has at a server.
+// setRow replaces the peer's counts for a server.
 func (b *Balancer) setRow(p *peer, s *server, row counts.Row) {
 	if extra := len(b.slots) - len(p.bySlot); extra > 0 {
 		p.bySlot = append(p.bySlot, make([]counts.Row, extra)...)
 	}
-	b.touch(s)
+	b.markChanged(s)
 	old := p.bySlot[s.slot]
 	p.bySlot[s.slot] = row
 	p.running += row.Load.Running - old.Load.Running
-	s.others.Sub(old)
-	s.others.Add(row)
-	if b.counted(p) {
-		s.below.Sub(old)
-		s.below.Add(row)
+	s.peerRow.Sub(old)
+	s.peerRow.Add(row)
+	if b.inSubtree(p) {
+		s.subtreeRow.Sub(old)
+		s.subtreeRow.Add(row)
 	}
 }
 
-// recount adds up anew what others have at each server.
-func (b *Balancer) recount() {
+// recomputeSums rebuilds the sums of the peers' counts for each server.
+func (b *Balancer) recomputeSums() {
 	for _, s := range b.servers {
-		s.others, s.below = counts.Row{}, counts.Row{}
-		b.touch(s)
+		s.peerRow, s.subtreeRow = counts.Row{}, counts.Row{}
+		b.markChanged(s)
 	}
 	for _, p := range b.peers {
 		p.bySlot, p.running = nil, 0
 		clear(p.unknown)
 		for number := range p.in.Servers() {
-			b.takeRow(p, number)
+			b.applyRow(p, number)
 		}
 	}
 }
 
-// shareSpeeds adds up what others have seen of each pool's reading speed.
-func (b *Balancer) shareSpeeds() {
+// aggregateSpeeds sums the prefill speeds that the peers observed in each pool.
+func (b *Balancer) aggregateSpeeds() {
 	for name, pool := range b.pools {
-		pool.speed.others = Reading{}
+		pool.speed.others = SpeedSample{}
 		for _, p := range b.peers {
-			pool.speed.others.add(p.rates[name].Reading)
+			pool.speed.others.add(p.rates[name].Speed)
 		}
 	}
 }
 
-// drop forgets a peer and its counts.
+// drop removes a peer and its counts.
 func (b *Balancer) drop(name string, p *peer) {
 	delete(b.peers, name)
 	for slot, row := range p.bySlot {
 		if s := b.slots[slot]; s != nil {
-			b.touch(s)
-			s.others.Sub(row)
-			if b.counted(p) {
-				s.below.Sub(row)
+			b.markChanged(s)
+			s.peerRow.Sub(row)
+			if b.inSubtree(p) {
+				s.subtreeRow.Sub(row)
 			}
 		}
 	}
 }
 
-// begin takes over the boundaries of others while this instance has only its
-// own usual beginning.
-func (b *Balancer) begin(now time.Time, held map[string]counts.Boundary) {
-	for name, x := range held {
-		if p := b.pool(name); !p.sides.settled(now) {
-			p.sides.take(x)
+// adoptBoundaries adopts a peer's boundaries for pools in which this instance still
+// uses the initial one.
+func (b *Balancer) adoptBoundaries(now time.Time, boundaries map[string]counts.Boundary) {
+	for name, x := range boundaries {
+		if p := b.pool(name); !p.sides.ready(now) {
+			p.sides.adopt(x)
 		}
 	}
 }
 
-// Forget drops counts of instances that are silent.
-func (b *Balancer) Forget(now time.Time) {
+// DropSilentPeers removes the counts of instances that have stopped sending.
+func (b *Balancer) DropSilentPeers(now time.Time) {
 	dropped := false
 	for name, p := range b.peers {
-		if !p.fresh(now) && now.Sub(p.made) >= peerTime {
+		if !p.fresh(now) && now.Sub(p.createdAt) >= peerTTL {
 			b.drop(name, p)
 			dropped = true
 		}
 	}
 	if dropped {
-		b.shareSpeeds()
+		b.aggregateSpeeds()
 	}
 }
 
-// CountsAge is how old the counts of others are, on average over their calls.
+// CountsAge returns the average age of the peers' counts, weighted by their calls.
 func (b *Balancer) CountsAge(now time.Time) time.Duration {
 	return b.age(now, 0, func(*peer) bool { return true })
 }
 
-// age is the average age of the counts of the peers that are included, and of so many
-// calls that are known as they are.
+// age returns the average age of the counts of the included peers, weighted by calls,
+// together with own calls of age zero.
 func (b *Balancer) age(now time.Time, own int, included func(*peer) bool) time.Duration {
 	var sum time.Duration
 	calls := own
 	for _, p := range b.peers {
 		if p.fresh(now) && included(p) {
-			sum += time.Duration(p.running) * (now.Sub(p.at) + p.age)
+			sum += time.Duration(p.running) * (now.Sub(p.updatedAt) + p.reportedAge)
 			calls += p.running
 		}
 	}
@@ -258,12 +264,12 @@
 	return sum / time.Duration(calls)
 }
 
-// ageFor is the age of what a peer is told.
-func (b *Balancer) ageFor(now time.Time, to *peer, below bool) time.Duration {
-	return b.age(now, b.ownRunning(), func(p *peer) bool { return p != to && (!below || b.counted(p)) })
+// ageFor returns the age of the counts sent to a peer.
+func (b *Balancer) ageFor(now time.Time, to *peer, subtreeOnly bool) time.Duration {
+	return b.age(now, b.ownRunning(), func(p *peer) bool { return p != to && (!subtreeOnly || b.inSubtree(p)) })
 }
 
-// ownRunning counts this instance's own calls.
+// ownRunning returns the number of this instance's own running calls.
 func (b *Balancer) ownRunning() int {
 	n := 0
 	for _, s := range b.slots {
--- a/core/balance/replay_test.go
+++ b/core/balance/replay_test.go
@@ -14,19 +14,19 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-// arrival is one call of a replayed load.
+// arrival is one call of a replayed workload.
 type arrival struct {
 	at     time.Duration
 	call   Call
 	output int
-	// again: the call was refused before.
+	// again is set if the call was refused before.
 	again bool
 }
 
-// eveningLoad is what twelve engines see at dusk: chats in a steady stream that
-// doubles for some seconds, checks, and long compositions that come in a burst
-// of their own.
-func eveningLoad(seed int64, length time.Duration, scenes float64) []arrival {
+// mixedLoad generates the evening workload of twelve engines: a steady stream of chats
+// that doubles for some seconds, short checks, and long compositions that arrive in a
+// burst of their own.
+func mixedLoad(seed int64, length time.Duration, scenes float64) []arrival {
 	rnd := rand.New(rand.NewSource(seed))
 	size := func(mean, spread float64) int {
 		return max(1, int(mean*math.Exp(spread*rnd.NormFloat64()-spread*spread/2)))
@@ -44,7 +44,7 @@
 		}
 	}
 	call := func(kind string, parts, shared, unshared int, target, gap time.Duration) Call {
-		return Call{Tokens: shared + unshared, Unshared: unshared, Target: target, Gap: gap, Home: fmt.Sprint(kind, rnd.Intn(parts))}
+		return Call{Tokens: shared + unshared, Unshared: unshared, Target: target, Gap: gap, AffinityKey: fmt.Sprint(kind, rnd.Intn(parts))}
 	}
 	add(60, 10*time.Second, 15*time.Second, 2, func() (Call, int) {
 		return call("chat", 400, 198, size(628, 0.8), 300*time.Millisecond, 200*time.Millisecond), size(290, 0.6)
@@ -59,28 +59,28 @@
 	return out
 }
 
-// result is what callers got of a replay.
+// result summarizes the calls of a replay.
 type result struct {
 	chats, lateChats   int
 	scenes, lateScenes int
-	// cutScenes were read and generated in vain, refused ones did not run.
+	// cutScenes ran until the timeout; refused calls did not run.
 	cutScenes, refused int
-	reread             int
+	reprocessed        int
 }
 
 func (r result) String() string {
-	return fmt.Sprintf("late chats %d of %d, late scenes %d of %d, %d cut, %d refused, %d shared tokens read again",
-		r.lateChats, r.chats, r.lateScenes, r.scenes, r.cutScenes, r.refused, r.reread)
+	return fmt.Sprintf("late chats %d of %d, late scenes %d of %d, %d cut, %d refused, %d shared tokens reprocessed",
+		r.lateChats, r.chats, r.lateScenes, r.scenes, r.cutScenes, r.refused, r.reprocessed)
 }
 
-// chooser places a call on one of the engines, or on none with -1.
+// chooser places a call on an engine; -1 refuses it.
 type chooser interface {
 	choose(now time.Time, c Call) int
 	began(now time.Time, s *streamSim)
 	ended(now time.Time, engine int, s *streamSim)
 }
 
-// replay runs a load through engines, of which every third is slow.
+// replay runs a workload on simulated engines, of which every third is slow.
 func replay(load []arrival, engines, slots int, policy func([]fleet.Server) chooser) result {
 	sims := make([]*engineSim, engines)
 	list := make([]fleet.Server, engines)
@@ -121,22 +121,22 @@
 		i := p.choose(t0.Add(a.at), a.call)
 		if i < 0 {
 			r.refused++
-			load = comeBack(load, a)
+			load = retryLater(load, a)
 			continue
 		}
 		if b, ok := p.(*balanced); ok {
 			s.ticket = b.b.Start(t0.Add(a.at), sims[i].id, a.call)
 			s.late = b.late
-			s.onGap = func(gap time.Duration) { b.b.Progress(&s.ticket, gap) }
+			s.onGap = func(gap time.Duration) { b.b.RecordGap(&s.ticket, gap) }
 		}
-		r.reread += sims[i].accept(s)
+		r.reprocessed += sims[i].accept(s)
 	}
 	run(time.Hour)
 	return r
 }
 
-// comeBack adds a refused call once more, some seconds later.
-func comeBack(load []arrival, a arrival) []arrival {
+// retryLater adds a refused call once more, three seconds later.
+func retryLater(load []arrival, a arrival) []arrival {
 	if a.again {
 		return load
 	}
@@ -165,14 +165,14 @@
 	}
 }
 
-// balanced is the product's placement.
+// balanced places calls with the Balancer.
 type balanced struct {
 	b    *Balancer
 	list []fleet.Server
 	rnd  *rand.Rand
-	// admitAll leaves admission out.
+	// admitAll disables admission control.
 	admitAll bool
-	// late: the call chosen last goes behind those in time.
+	// late is set if the last call was admitted as Late.
 	late bool
 }
 
@@ -184,11 +184,11 @@
 }
 
 func (p *balanced) choose(now time.Time, c Call) int {
-	p.b.Arrive(now, "p", c)
+	p.b.RecordArrival(now, "p", c)
 	p.late = false
 	if !p.admitAll {
 		f := p.b.Forecast(now, "p", c, callTimeout, callTimeout)
-		if f.Admission == Hopeless {
+		if f.Admission == Infeasible {
 			return -1
 		}
 		p.late = f.Admission == Late
@@ -202,18 +202,18 @@
 	return 0
 }
 
-func (p *balanced) began(now time.Time, s *streamSim) { p.b.Began(now, &s.ticket) }
+func (p *balanced) began(now time.Time, s *streamSim) { p.b.RecordFirstEvent(now, &s.ticket) }
 
 func (p *balanced) ended(now time.Time, engine int, s *streamSim) {
 	p.b.End(s.ticket)
 	if s.cut {
 		return
 	}
-	p.b.Good(now, p.list[engine].ID)
-	p.b.Streamed(now, &s.ticket, s.gaps)
+	p.b.RecordSuccess(now, p.list[engine].ID)
+	p.b.RecordStream(now, &s.ticket, s.gaps)
 }
 
-// leastRunning is the usual policy: the engine with the fewest calls.
+// leastRunning is the baseline policy: the engine with the fewest calls.
 type leastRunning struct{ running []int }
 
 func newLeastRunning(list []fleet.Server) chooser { return &leastRunning{make([]int, len(list))} }
@@ -233,32 +233,32 @@
 
 func (p *leastRunning) ended(_ time.Time, engine int, _ *streamSim) { p.running[engine]-- }
 
-// At dusk chats must stay on time beside bursts of compositions. Counting calls
+// Chats must stay on time during bursts of compositions. Placement by call counts
 // mixes the two on every engine.
-func TestEveningLoadKeepsChatsOnTime(t *testing.T) {
+func TestBurstsKeepChatsOnTime(t *testing.T) {
 	for seed := int64(1); seed <= 3; seed++ {
-		load := eveningLoad(seed, 20*time.Second, 10)
+		load := mixedLoad(seed, 20*time.Second, 10)
 		got := replay(load, 12, 64, newBalanced)
-		usual := replay(load, 12, 64, newLeastRunning)
-		t.Logf("seed %d: %v; with the fewest calls: %v", seed, got, usual)
-		if 4*got.lateChats > usual.lateChats {
-			t.Errorf("seed %d: %d late chats, more than a quarter of the %d by the fewest calls", seed, got.lateChats, usual.lateChats)
+		baseline := replay(load, 12, 64, newLeastRunning)
+		t.Logf("seed %d: %v; fewest calls: %v", seed, got, baseline)
+		if 4*got.lateChats > baseline.lateChats {
+			t.Errorf("seed %d: %d late chats, more than a quarter of the %d with the fewest-calls policy", seed, got.lateChats, baseline.lateChats)
 		}
-		if 5*got.reread > 3*usual.reread {
-			t.Errorf("seed %d: %d shared tokens read again, more than three fifths of %d", seed, got.reread, usual.reread)
+		if 5*got.reprocessed > 3*baseline.reprocessed {
+			t.Errorf("seed %d: %d shared tokens reprocessed, more than three fifths of %d", seed, got.reprocessed, baseline.reprocessed)
 		}
-		if got.lateScenes > usual.lateScenes+got.scenes/10 {
-			t.Errorf("seed %d: %d late compositions against %d", seed, got.lateScenes, usual.lateScenes)
+		if got.lateScenes > baseline.lateScenes+got.scenes/10 {
+			t.Errorf("seed %d: %d late compositions, %d with the fewest-calls policy", seed, got.lateScenes, baseline.lateScenes)
 		}
 	}
 }
 
-// Three times as many long prompts as all engines can read: taken all, nearly
-// all are late, most are cut at their timeout after the work was done, and half of
-// the chats are late too. Refused callers come back once.
-func TestTooManyLongPromptsAreRefusedInTime(t *testing.T) {
+// Long prompts arrive at three times the engines' capacity. If all are admitted,
+// nearly all are late, most reach their timeout after the work was done, and half of
+// the chats are late too. Refused callers retry once.
+func TestOverloadRefusesLongPromptsEarly(t *testing.T) {
 	for seed := int64(1); seed <= 3; seed++ {
-		load := eveningLoad(seed, 20*time.Second, 45)
+		load := mixedLoad(seed, 20*time.Second, 45)
 		got := replay(load, 12, 32, newBalanced)
 		all := replay(load, 12, 32, func(list []fleet.Server) chooser {
 			p := newBalanced(list).(*balanced)
@@ -267,42 +267,42 @@
 		})
 		t.Logf("seed %d: %v; all admitted: %v", seed, got, all)
 		if got.scenes+got.cutScenes < all.scenes-all.cutScenes {
-			t.Errorf("seed %d: %d scenes served, fewer than the %d when all are admitted alike", seed, got.scenes-got.cutScenes, all.scenes-all.cutScenes)
+			t.Errorf("seed %d: %d scenes served, fewer than the %d when all are admitted", seed, got.scenes-got.cutScenes, all.scenes-all.cutScenes)
 		}
-		if inTime, usual := got.scenes-got.lateScenes, all.scenes-all.lateScenes; inTime < 2*usual {
-			t.Errorf("seed %d: %d scenes in time, less than twice the %d when all are admitted", seed, inTime, usual)
+		if inTime, baseline := got.scenes-got.lateScenes, all.scenes-all.lateScenes; inTime < 2*baseline {
+			t.Errorf("seed %d: %d scenes in time, less than twice the %d when all are admitted", seed, inTime, baseline)
 		}
 		if 8*got.lateChats > got.chats {
-			t.Errorf("seed %d: %d of %d chats are late beside them", seed, got.lateChats, got.chats)
+			t.Errorf("seed %d: %d of %d chats are late", seed, got.lateChats, got.chats)
 		}
 		if 20*got.cutScenes > got.scenes {
-			t.Errorf("seed %d: %d of %d scenes were taken in vain", seed, got.cutScenes, got.scenes)
+			t.Errorf("seed %d: %d of %d scenes were admitted but timed out", seed, got.cutScenes, got.scenes)
 		}
 	}
 }
 
-// A burst of long prompts whose shared parts nobody has read yet: the boundary
-// must follow what waits, since the rate of what arrives shows a quarter of it.
-func TestBoundaryFollowsWhatWaits(t *testing.T) {
+// In a burst of long prompts whose shared parts are not cached yet, the boundary must
+// follow the backlog, since the arrival rate shows only a quarter of it.
+func TestBoundaryFollowsBacklog(t *testing.T) {
 	b, _ := pool12()
-	b.speed("p", 40_000)
+	b.setSpeed("p", 40_000)
 	now := t0
 	for i := range 40 {
-		c := Call{Tokens: 9000, Unshared: 2900, MaxOutput: 60, Target: 800 * time.Millisecond, Gap: 500 * time.Millisecond, Home: fmt.Sprint(i)}
+		c := Call{Tokens: 9000, Unshared: 2900, MaxOutput: 60, Target: 800 * time.Millisecond, Gap: 500 * time.Millisecond, AffinityKey: fmt.Sprint(i)}
 		now = now.Add(10 * time.Millisecond)
-		b.Arrive(now, "p", c)
-		s, ok := b.Choose(now, "p", c, nil, middle)
+		b.RecordArrival(now, "p", c)
+		s, ok := b.Choose(now, "p", c, nil, fixedRandom)
 		if !ok {
 			t.Fatal("no engine")
 		}
 		b.Start(now, s.ID, c)
 	}
 	if long := len(b.longSide(now, "p")); long < 8 {
-		t.Errorf("%d of 12 engines are for long prompts while 40 of them wait and nothing else does", long)
+		t.Errorf("%d of 12 engines are on the long side while 40 long prompts and no other calls wait", long)
 	}
 }
 
-// speed sets what is known of a pool's reading speed.
-func (b *Balancer) speed(poolName string, tokensPerSecond float64) {
-	b.pool(poolName).speed.own = Reading{Sum: tokensPerSecond * mostCalls, Calls: mostCalls}
+// setSpeed sets the known prefill speed of a pool.
+func (b *Balancer) setSpeed(poolName string, tokensPerSecond float64) {
+	b.pool(poolName).speed.own = SpeedSample{Sum: tokensPerSecond * maxSpeedCalls, Calls: maxSpeedCalls}
 }
--- a/core/balance/report.go
+++ b/core/balance/report.go
@@ -9,70 +9,71 @@
 	"cardamomwick.example/core/ratelimit"
 )
 
-// Load is what runs at one server.
+// Load is the load on one server.
 type Load = counts.Load
 
-// Rates is the work that arrives for a pool, in prompt tokens per second.
+// Rates is the work that arrives for a pool.
 type Rates struct {
+	// Long and Short are the prompt tokens per second that arrive for each side.
 	Long, Short float64
-	// Calls is the calls a second.
+	// Calls is the number of calls per second.
 	Calls float64
-	// Reading is the speed at which the pool's engines were seen to read.
-	Reading Reading
+	// Speed is the observed prefill speed of the pool's engines.
+	Speed SpeedSample
 }
 
 func (r *Rates) add(x Rates) {
 	r.Long += x.Long
 	r.Short += x.Short
 	r.Calls += x.Calls
-	r.Reading.add(x.Reading)
+	r.Speed.add(x.Speed)
 }
 
-// ReportTo returns the next message with this instance's counts, and those of the
-// members below it, for its collector.
+// ReportTo returns the next message to this instance's collector, with the counts of
+// this instance and of the members in its subtree.
 func (b *Balancer) ReportTo(now time.Time, collector string) counts.Message {
 	return b.message(now, b.peer(now, collector), counts.FromMember)
 }
 
-// SumTo returns the next message with the same counts for another collector, and
-// the boundaries that this one goes by.
+// SumTo returns the next message to another collector, with the same counts and the
+// boundaries in use here.
 func (b *Balancer) SumTo(now time.Time, peer string) counts.Message {
 	return b.message(now, b.peer(now, peer), counts.ToPeer)
 }
 
-// AnswerTo returns the next message with what everyone but the named member has,
-// and the boundaries that this instance goes by.
+// AnswerTo returns the next message to a member, with the counts of all other
+// instances and the boundaries in use here.
 func (b *Balancer) AnswerTo(now time.Time, member string) counts.Message {
 	return b.message(now, b.peer(now, member), counts.Answer)
 }
 
 func (b *Balancer) message(now time.Time, p *peer, kind counts.Kind) counts.Message {
-	if b.since.IsZero() {
-		b.since = now
+	if b.exchangeSince.IsZero() {
+		b.exchangeSince = now
 	}
-	below := kind != counts.Answer
-	content := counts.Content{Now: now, Kind: kind, Rates: b.ratesFor(now, p, below)}
+	subtreeOnly := kind != counts.Answer
+	content := counts.Content{Now: now, Kind: kind, Rates: b.ratesFor(now, p, subtreeOnly)}
 	if kind != counts.FromMember {
 		content.Boundaries, content.Version = b.boundaries(now)
 	}
-	content.Uses = b.uses.next(now, p, below, b.counted)
-	m := p.out.Next(&view{b, p, below}, content, b.firstStream)
+	content.Uses = b.uses.next(now, p, subtreeOnly, b.inSubtree)
+	m := p.out.Next(&view{b, p, subtreeOnly}, content, b.firstStream)
 	m.Name, m.Level = b.name, b.level
 	m.Heard = p.in.Heard()
-	m.AgeMillis = uint16(min(b.ageFor(now, p, below), mostAge).Milliseconds())
+	m.AgeMillis = uint16(min(b.ageFor(now, p, subtreeOnly), maxCountsAge).Milliseconds())
 	m.Decides = kind == counts.ToPeer && len(content.Boundaries) > 0 && b.decider(now) == nil
 	return m
 }
 
-// mostAge bounds the age that is told: beyond it counts are as good as unknown.
-const mostAge = time.Minute
+// maxCountsAge bounds the reported age. Older counts are as good as unknown.
+const maxCountsAge = time.Minute
 
-// view is what a peer is told: what everyone but the peer has, or with below only what
-// this instance and the members below it have.
+// view selects the counts sent to a peer: those of all instances but the peer or, with
+// subtreeOnly, only those of this instance and the members in its subtree.
 type view struct {
-	b     *Balancer
-	to    *peer
-	below bool
+	b           *Balancer
+	to          *peer
+	subtreeOnly bool
 }
 
 // Slots implements counts.View.
@@ -89,7 +90,7 @@
 // Changes implements counts.View.
 func (v *view) Changes() *counts.ChangeLog { return &v.b.changes }
 
-// Limit implements counts.View. What the receiver has told is not told back.
+// Limit implements counts.View. A limit reported by the receiver is not sent back.
 func (v *view) Limit(slot int) ratelimit.Statement {
 	s := v.b.slots[slot]
 	if s == nil || s.limit.from == v.to {
@@ -104,24 +105,24 @@
 	if s == nil {
 		return "", counts.Row{}
 	}
-	others := s.others
-	if v.below {
-		others = s.below
+	others := s.peerRow
+	if v.subtreeOnly {
+		others = s.subtreeRow
 	}
 	r := s.ownRow()
 	r.Add(others)
-	if !v.below || v.b.counted(v.to) { // the receiver's own part is among them
+	if !v.subtreeOnly || v.b.inSubtree(v.to) { // the sum contains the receiver's counts
 		r.Sub(v.to.row(slot))
 	}
 	return s.ID, r
 }
 
-// touch notes that the counts at a server have changed.
-func (b *Balancer) touch(s *server) {
+// markChanged records a change of a server's reported state.
+func (b *Balancer) markChanged(s *server) {
 	s.version = b.changes.Note(s.slot, len(b.slots))
 }
 
-// ownRow is what this instance tells of a server.
+// ownRow returns this instance's own counts for a server.
 func (s *server) ownRow() counts.Row {
 	r := counts.Row{Load: s.own}
 	if s.pace.perEvent > 0 {
@@ -130,38 +131,39 @@
 	return r
 }
 
-// ratesFor sums what arrives here and at the others but the receiver; below: at the
-// members below only.
-func (b *Balancer) ratesFor(now time.Time, to *peer, below bool) []counts.Rates {
+// ratesFor returns the arrival rates of this instance and of all peers but the
+// receiver or, with subtreeOnly, only of the members in its subtree.
+func (b *Balancer) ratesFor(now time.Time, to *peer, subtreeOnly bool) []counts.Rates {
 	var out []counts.Rates
 	for name, p := range b.pools {
-		sum := b.ratesOf(now, p, name, func(x *peer) bool { return x != to && (!below || b.counted(x)) })
-		if p.memory == 0 && sum.Calls < leastCalls {
+		sum := b.ratesOf(now, p, name, func(x *peer) bool { return x != to && (!subtreeOnly || b.inSubtree(x)) })
+		if p.memory == 0 && sum.Calls < minCallRate {
 			continue
 		}
 		out = append(out, counts.Rates{Pool: name, Long: float32(sum.Long), Short: float32(sum.Short),
-			ReadingSum: float32(sum.Reading.Sum), ReadingCalls: float32(sum.Reading.Calls), Calls: float32(sum.Calls)})
+			ReadingSum: float32(sum.Speed.Sum), ReadingCalls: float32(sum.Speed.Calls), Calls: float32(sum.Calls)})
 	}
 	return out
 }
 
-// leastCalls a second are told of a pool that has no engines: less says nothing.
-const leastCalls = 0.01
+// minCallRate is the minimum number of calls per second from which the rates of a pool
+// without engines are reported.
+const minCallRate = 0.01
 
-// boundaryPeriod is how long boundaries are told as they were found: a collector
-// makes some hundred messages a second, and each would decide anew.
+// boundaryPeriod is how long computed boundaries are reused: a collector sends some
+// hundred messages a second, and each would recompute them.
 const boundaryPeriod = 50 * time.Millisecond
 
-// toldBoundaries are boundaries as they are told, with a version that rises with
+// advertisedBoundaries are the boundaries sent to peers. The version increases with
 // each change.
-type toldBoundaries struct {
+type advertisedBoundaries struct {
 	list    []counts.Boundary
 	version uint64
 	at      time.Time
 }
 
 func (b *Balancer) boundaries(now time.Time) ([]counts.Boundary, uint64) {
-	t := &b.told
+	t := &b.advertised
 	if !t.at.IsZero() && now.Sub(t.at) < boundaryPeriod {
 		return t.list, t.version
 	}
@@ -171,7 +173,7 @@
 		if p.memory == 0 {
 			continue
 		}
-		if engines := b.longSide(now, name); p.sides.settled(now) {
+		if engines := b.longSide(now, name); p.sides.ready(now) {
 			list = append(list, counts.Boundary{Pool: name, Share: p.sides.share, Engines: engines})
 		}
 	}
--- a/core/balance/report_test.go
+++ b/core/balance/report_test.go
@@ -12,7 +12,7 @@
 	"cardamomwick.example/core/wire"
 )
 
-// group is two collectors and the members of the first.
+// group is two collectors and the members of the first one.
 type group struct {
 	collector, other *Balancer
 	members          []*Balancer
@@ -36,21 +36,21 @@
 	return g
 }
 
-// exchange lets all counts go once all the way round.
+// exchange sends the counts of all instances to all others.
 func (g *group) exchange(now time.Time) {
 	for _, m := range g.members {
-		report(now, m, g.collector)
+		sendReport(now, m, g.collector)
 	}
-	tell(now, g.collector, g.other)
-	tell(now, g.other, g.collector)
+	sendSum(now, g.collector, g.other)
+	sendSum(now, g.other, g.collector)
 	for _, m := range g.members {
-		report(now, m, g.collector)
-		answer(now, g.collector, m)
+		sendReport(now, m, g.collector)
+		sendAnswer(now, g.collector, m)
 	}
 }
 
-// pass lets a message go over the wire.
-func pass(m counts.Message) *counts.Message {
+// roundTrip encodes and decodes a message.
+func roundTrip(m counts.Message) *counts.Message {
 	data, err := msgpack.Marshal(&m)
 	if err != nil {
 		panic(err)
@@ -62,15 +62,19 @@
 	return &out
 }
 
-func tell(now time.Time, from, to *Balancer)   { to.Take(now, pass(from.SumTo(now, to.name))) }
-func report(now time.Time, from, to *Balancer) { to.Take(now, pass(from.ReportTo(now, to.name))) }
-func answer(now time.Time, from, to *Balancer) { to.Take(now, pass(from.AnswerTo(now, to.name))) }
+func sendSum(now time.Time, from, to *Balancer) { to.Receive(now, roundTrip(from.SumTo(now, to.name))) }
+func sendReport(now time.Time, from, to *Balancer) {
+	to.Receive(now, roundTrip(from.ReportTo(now, to.name)))
+}
+func sendAnswer(now time.Time, from, to *Balancer) {
+	to.Receive(now, roundTrip(from.AnswerTo(now, to.name)))
+}
 
 func (g *group) all() []*Balancer { return append([]*Balancer{g.collector, g.other}, g.members...) }
 
-// Through collectors every instance must know what all have placed, each call
-// counted once.
-func TestCountsComeRoundOnce(t *testing.T) {
+// Every instance must receive the calls of all others through the collectors, each
+// call counted once.
+func TestEachCallIsCountedOnce(t *testing.T) {
 	g := newGroup()
 	for i, b := range g.all() {
 		for range i + 1 {
@@ -86,39 +90,39 @@
 	}
 }
 
-func TestMembersGoByTheFirstCollectorsBoundary(t *testing.T) {
+func TestMembersAdoptFirstCollectorsBoundary(t *testing.T) {
 	g := newGroup()
 	for range 300 {
-		g.members[1].Arrive(t0, "p", chat)
-		g.members[2].Arrive(t0, "p", scene)
+		g.members[1].RecordArrival(t0, "p", chat)
+		g.members[2].RecordArrival(t0, "p", scene)
 	}
 	g.exchange(t0)
-	now := t0.Add(settleTime)
+	now := t0.Add(startupGrace)
 	g.exchange(now)
 	now = now.Add(100 * time.Millisecond)
 	g.exchange(now)
 	want := fmt.Sprint(g.other.longSide(now, "p"))
 	for _, b := range g.all() {
 		if got := fmt.Sprint(b.longSide(now, "p")); got != want {
-			t.Errorf("instance %s has %s on the long side, the first collector %s", b.name, got, want)
+			t.Errorf("instance %s has %s on the long side, the first collector has %s", b.name, got, want)
 		}
 	}
 }
 
-// A member that has lost its collector decides by itself again, and forgets
-// counts that nobody confirms.
-func TestCountsOfASilentCollectorFade(t *testing.T) {
+// A member that has lost its collector must decide by itself again and drop counts
+// that are no longer confirmed.
+func TestSilentCollectorIsDropped(t *testing.T) {
 	g := newGroup()
 	g.collector.Start(t0, g.servers[4].ID, chat)
 	g.exchange(t0)
 	m := g.members[0]
-	later := t0.Add(peerTime)
-	m.Forget(later)
+	later := t0.Add(peerTTL)
+	m.DropSilentPeers(later)
 	if got := m.servers[g.servers[4].ID].load().Running; got != 0 {
 		t.Errorf("%d calls are still counted", got)
 	}
 	if m.decider(later) != nil {
-		t.Error("a silent collector still decides")
+		t.Error("a silent collector still decides the boundary")
 	}
 }
 
@@ -129,21 +133,22 @@
 		for k := range gaps {
 			gaps[k] = time.Duration(20+10*i) * time.Millisecond
 		}
-		b.Streamed(t0, &Ticket{server: g.servers[4].ID}, gaps)
+		b.RecordStream(t0, &Ticket{server: g.servers[4].ID}, gaps)
 	}
 	g.exchange(t0)
 	g.exchange(t0.Add(100 * time.Millisecond))
 	for _, b := range []*Balancer{g.members[1], g.collector} {
 		if got := b.perEvent(b.servers[g.servers[4].ID]); got != 25*time.Millisecond {
-			t.Errorf("instance %s takes %v for the pace, want 25ms", b.name, got)
+			t.Errorf("instance %s has pace %v, want 25ms", b.name, got)
 		}
 	}
 }
 
-// Sixty instances see an idle engine read a long prompt once each. By itself
-// each of them took the engines for half as fast as they were all through a
-// burst, and gave half of the engines to the chats, which needed a quarter.
-func TestReadingSpeedIsLearnedTogether(t *testing.T) {
+// Each instance sees an idle engine process a long prompt only once. Without sharing
+// these observations, each of sixty instances estimated half the actual speed
+// throughout a burst and assigned half of the engines to the chats, which needed a
+// quarter.
+func TestPrefillSpeedIsShared(t *testing.T) {
 	const tokensPerSecond = 120_000
 	g := newGroup()
 	took := func(tokens float64) time.Duration {
@@ -152,7 +157,7 @@
 	for i, b := range g.all() {
 		for _, c := range []Call{{Tokens: 10, Unshared: 10}, {Tokens: 9000, Unshared: 9000}} {
 			ticket := b.Start(t0, g.servers[i].ID, c)
-			b.Began(t0.Add(took(ticket.Ahead())), &ticket)
+			b.RecordFirstEvent(t0.Add(took(ticket.Ahead())), &ticket)
 			b.End(ticket)
 		}
 	}
@@ -160,59 +165,59 @@
 	g.exchange(t0.Add(100 * time.Millisecond))
 	for _, b := range g.all() {
 		if got := b.pool("p").speed.value(); got < 0.75*tokensPerSecond {
-			t.Errorf("instance %s takes %.0f tokens/s for the reading speed of %d", b.name, got, tokensPerSecond)
+			t.Errorf("instance %s estimates a prefill speed of %.0f tokens/s, want about %d", b.name, got, tokensPerSecond)
 		}
 	}
 }
 
-// The instance that decides is killed and starts again. It must go on from where
-// the others have the boundary, not from its usual beginning.
-func TestRestartedDeciderTakesTheBoundaryOver(t *testing.T) {
+// When the instance that decides is killed and restarts, it must adopt the other
+// instances' boundary and not return to its initial one.
+func TestRestartedInstanceAdoptsBoundary(t *testing.T) {
 	g := newGroup()
 	g.exchange(t0)
 	burst := t0.Add(2 * time.Second)
 	for i := range 100 {
-		g.collector.Arrive(burst, "p", scene)
+		g.collector.RecordArrival(burst, "p", scene)
 		if i%10 == 0 {
-			g.members[1].Arrive(burst, "p", chat)
+			g.members[1].RecordArrival(burst, "p", chat)
 		}
 	}
 	g.exchange(burst)
 	g.exchange(burst.Add(100 * time.Millisecond))
 	want := fmt.Sprint(g.collector.longSide(burst.Add(100*time.Millisecond), "p"))
-	if before := g.collector.pool("p").sides.share; before == startShare {
+	if before := g.collector.pool("p").sides.share; before == initialLongShare {
 		t.Fatal("the burst has not moved the boundary")
 	}
-	later := t0.Add(10 * time.Second) // the burst is over, and nothing asks for a move
+	later := t0.Add(10 * time.Second) // after the burst, when no move is needed
 	g.exchange(later)
 	if got := fmt.Sprint(g.other.longSide(later, "p")); got != want {
-		t.Fatalf("the boundary moved from %s to %s by itself", want, got)
-	}
-	again, _ := pool12()
-	again.name, again.firstStream = g.other.name, 2
-	again.SetLevel(1)
-	g.other = again
-	g.collector.Forget(later.Add(peerTime))
-	g.exchange(later.Add(peerTime))
-	g.exchange(later.Add(peerTime + 100*time.Millisecond))
+		t.Fatalf("the boundary moved from %s to %s without need", want, got)
+	}
+	restarted, _ := pool12()
+	restarted.name, restarted.firstStream = g.other.name, 2
+	restarted.SetLevel(1)
+	g.other = restarted
+	g.collector.DropSilentPeers(later.Add(peerTTL))
+	g.exchange(later.Add(peerTTL))
+	g.exchange(later.Add(peerTTL + 100*time.Millisecond))
 	for _, b := range g.all() {
-		if got := fmt.Sprint(b.longSide(later.Add(peerTime+100*time.Millisecond), "p")); got != want {
+		if got := fmt.Sprint(b.longSide(later.Add(peerTTL+100*time.Millisecond), "p")); got != want {
 			t.Errorf("instance %s has %s on the long side, %s before the restart", b.name, got, want)
 		}
 	}
 }
 
-// Two instances see each other as equals at first, then one reports to the other: it
-// must be told anew what everyone else has.
-func TestAnswersBeginWithEverything(t *testing.T) {
+// Two instances first exchange counts as equal collectors, then one becomes a member
+// of the other. It must be sent the counts of all other instances again.
+func TestFirstAnswerIsComplete(t *testing.T) {
 	g := newGroup()
 	b, m := g.collector, g.members[0]
 	g.other.Start(t0, g.servers[4].ID, chat)
-	tell(t0, g.other, b)
-	tell(t0, b, m)
-	report(t0, m, b)
-	answer(t0, b, m)
+	sendSum(t0, g.other, b)
+	sendSum(t0, b, m)
+	sendReport(t0, m, b)
+	sendAnswer(t0, b, m)
 	if got := m.servers[g.servers[4].ID].load().Running; got != 1 {
-		t.Errorf("the member counts %d calls, not the one elsewhere", got)
+		t.Errorf("the member counts %d calls, want the one of another instance", got)
 	}
 }
--- a/core/balance/servers.go
+++ b/core/balance/servers.go
@@ -8,95 +8,95 @@
 	"cardamomwick.example/core/fleet"
 )
 
-// noSlot is the slot of a server that has left.
+// noSlot is the slot of a server that has been removed.
 const noSlot = -1
 
-// SetFleet takes the servers that are there. What is known of those that stay is kept, and
-// costs no more than a comparison: in a large fleet some servers change all the time, and
-// the others are many.
+// SetFleet sets the current servers. The state of servers that remain is kept at the
+// cost of a comparison: in a large fleet some servers change all the time while most
+// do not.
 func (b *Balancer) SetFleet(list []fleet.Server) {
-	d := b.compare(list)
-	for _, s := range d.gone {
+	d := b.diffFleet(list)
+	for _, s := range d.removed {
 		b.remove(s)
 	}
-	for i := range d.come {
-		b.add(&d.come[i])
+	for i := range d.added {
+		b.add(&d.added[i])
 	}
-	for name := range d.pools() {
+	for name := range d.changedPools() {
 		b.pool(name).sortServers()
 	}
 }
 
-// difference is what has changed in the fleet.
-type difference struct {
-	come []fleet.Server
-	gone []*server
+// fleetDiff is the difference between two fleet updates.
+type fleetDiff struct {
+	added   []fleet.Server
+	removed []*server
 }
 
-// compare takes what servers that stay say now, and returns who has come and gone. A server
-// that has gone to another pool does both.
-func (b *Balancer) compare(list []fleet.Server) (d difference) {
-	b.listing++
+// diffFleet updates the servers that remain and returns those that were added and
+// removed. A server that moved to another pool is both.
+func (b *Balancer) diffFleet(list []fleet.Server) (d fleetDiff) {
+	b.fleetRevision++
 	for _, f := range list {
 		s := b.servers[f.ID]
 		if s == nil || s.Pool != f.Pool {
-			d.come = append(d.come, f)
+			d.added = append(d.added, f)
 			continue
 		}
-		s.listing = b.listing
+		s.fleetRevision = b.fleetRevision
 		s.Server = f
 	}
 	for _, s := range b.slots {
-		if s != nil && s.listing != b.listing {
-			d.gone = append(d.gone, s)
+		if s != nil && s.fleetRevision != b.fleetRevision {
+			d.removed = append(d.removed, s)
 		}
 	}
 	return d
 }
 
-// pools names the pools whose servers are others than before.
-func (d *difference) pools() map[string]bool {
+// changedPools returns the pools whose set of servers has changed.
+func (d *fleetDiff) changedPools() map[string]bool {
 	out := map[string]bool{}
-	for i := range d.come {
-		out[d.come[i].Pool] = true
+	for i := range d.added {
+		out[d.added[i].Pool] = true
 	}
-	for _, s := range d.gone {
+	for _, s := range d.removed {
 		out[s.Pool] = true
 	}
 	return out
 }
 
-// remove forgets a server; its pool still has it until that is sorted.
+// remove deletes a server. It stays in its pool's list until sortServers is called.
 func (b *Balancer) remove(s *server) {
 	delete(b.servers, s.ID)
 	for _, p := range b.peers {
 		p.forgetServer(s)
 	}
-	b.touch(s) // the slot is empty now
+	b.markChanged(s) // the slot is vacated
 	b.slots[s.slot] = nil
-	b.free = append(b.free, s.slot)
+	b.freeSlots = append(b.freeSlots, s.slot)
 	s.slot = noSlot
 }
 
-// add takes a server that is new, with what peers have told of it.
+// add creates a server and applies the counts that peers have already reported for it.
 func (b *Balancer) add(f *fleet.Server) {
-	s := &server{Server: *f, order: score("", f.ID), listing: b.listing, slowness: 1}
+	s := &server{Server: *f, order: score("", f.ID), fleetRevision: b.fleetRevision, slowness: 1}
 	b.servers[f.ID] = s
-	b.takeSlot(s)
-	b.touch(s)
+	b.allocateSlot(s)
+	b.markChanged(s)
 	p := b.pool(f.Pool)
 	p.servers = append(p.servers, s)
 	for _, peer := range b.peers {
-		if number, told := peer.unknown[f.ID]; told {
-			b.takeRow(peer, number)
+		if number, ok := peer.unknown[f.ID]; ok {
+			b.applyRow(peer, number)
 			delete(peer.unknown, f.ID)
 		}
 	}
 }
 
-func (b *Balancer) takeSlot(s *server) {
-	if n := len(b.free); n > 0 {
-		s.slot, b.free = b.free[n-1], b.free[:n-1]
+func (b *Balancer) allocateSlot(s *server) {
+	if n := len(b.freeSlots); n > 0 {
+		s.slot, b.freeSlots = b.freeSlots[n-1], b.freeSlots[:n-1]
 		b.slots[s.slot] = s
 		return
 	}
@@ -104,15 +104,16 @@
 	b.slots = append(b.slots, s)
 }
 
-// sortServers takes out the servers that have left and puts the others into boundary order.
+// sortServers deletes removed servers and puts the others into boundary order.
 func (p *pool) sortServers() {
-	p.sides.marked = nil
+	p.sides.applied = nil
 	p.servers = slices.DeleteFunc(p.servers, func(s *server) bool { return s.slot == noSlot })
 	slices.SortFunc(p.servers, func(x, y *server) int { return cmp.Compare(x.order, y.order) })
 }
 
-// forgetServer takes a peer's counts at a server that has left out of the sums. They count again
-// should it come back: the peer tells them only when they change.
+// forgetServer removes the peer's counts for a removed server from the sums. The
+// server's number is kept, because the peer sends counts only when they change and
+// they apply again if the server returns.
 func (p *peer) forgetServer(s *server) {
 	row := p.row(s.slot)
 	if row == (counts.Row{}) {
@@ -122,13 +123,13 @@
 	p.bySlot[s.slot] = counts.Row{}
 	for number := range p.in.Servers() {
 		if id, _ := p.in.Server(number); id == s.ID {
-			p.noteUnknown(id, number)
+			p.recordUnknown(id, number)
 		}
 	}
 }
 
-// noteUnknown notes the number of a server that this instance does not know.
-func (p *peer) noteUnknown(id string, number int) {
+// recordUnknown records the number of a server that this instance does not know.
+func (p *peer) recordUnknown(id string, number int) {
 	if p.unknown == nil {
 		p.unknown = map[string]int{}
 	}
--- a/core/balance/servers_test.go
+++ b/core/balance/servers_test.go
@@ -10,9 +10,9 @@
 	"cardamomwick.example/core/fleet"
 )
 
-// BenchmarkOneServerChanges is what an instance pays when one server of a large fleet is
-// replaced, with what 16 others have told of all. A fleet of hundreds of machines has
-// dozens of such changes a second.
+// BenchmarkOneServerChanges measures the cost of replacing one server of a large fleet
+// when 16 other instances have reported counts for all servers. A fleet of hundreds of
+// machines has dozens of such changes per second.
 func BenchmarkOneServerChanges(b *testing.B) {
 	for _, engines := range []int{117, 3000} {
 		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
@@ -24,7 +24,7 @@
 					}
 				}
 				for range 1 + engines/4/256 {
-					tell(t0, z.members[i], z.collector)
+					sendSum(t0, z.members[i], z.collector)
 				}
 			}
 			for n := range b.N {
@@ -35,10 +35,11 @@
 	}
 }
 
-// Servers come and go in any order while other instances tell of them, also of those that
-// are not known here yet or any more. What is added up must stay what a fresh count gives:
-// servers that seemed busy or idle for ever would get no calls, or all.
-func TestCountsSurviveChangesOfTheFleet(t *testing.T) {
+// Servers are added and removed in any order while other instances report counts for
+// them, including for servers not known here. The incremental sums must equal a fresh
+// computation: a server that seemed permanently busy or idle would get no calls, or
+// all.
+func TestSumsSurviveFleetChanges(t *testing.T) {
 	for seed := range int64(20) {
 		rnd := rand.New(rand.NewSource(seed))
 		all := bigFleet(30)
@@ -62,37 +63,37 @@
 			}
 			rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 			here.SetFleet(list)
-			tell(now, there, here)
-			tell(now, here, there)
-			checkCounted(t, here)
+			sendSum(now, there, here)
+			sendSum(now, here, there)
+			checkSums(t, here)
 		}
 	}
 }
 
-// checkCounted compares what is added up with a fresh count.
-func checkCounted(t *testing.T, b *Balancer) {
+// checkSums compares the incremental sums with a fresh computation.
+func checkSums(t *testing.T, b *Balancer) {
 	t.Helper()
 	others := map[string]counts.Row{}
 	for id, s := range b.servers {
-		others[id] = s.others
+		others[id] = s.peerRow
 	}
-	b.recount()
+	b.recomputeSums()
 	for id, s := range b.servers {
-		if others[id].Load != s.others.Load {
-			t.Fatalf("%s: %+v, counted anew %+v", id, others[id].Load, s.others.Load)
+		if others[id].Load != s.peerRow.Load {
+			t.Fatalf("%s: incremental sum %+v, recomputed %+v", id, others[id].Load, s.peerRow.Load)
 		}
 	}
 }
 
-// A server that stays must not seem changed whenever another one comes or goes: each
-// instance would look through all its counts for each message to each other one.
-func TestServersThatStayAreNotToldAgain(t *testing.T) {
+// A server must not appear changed when another one is added or removed. Otherwise
+// each instance would scan all its counts for each message to each peer.
+func TestUnchangedServersKeepVersion(t *testing.T) {
 	b := New("a", 1)
 	list := bigFleet(10)
 	b.SetFleet(list)
 	before := b.servers[list[3].ID].version
 	b.SetFleet(append(bigFleet(9), fleet.Server{ID: "other", Pool: "p"}))
 	if got := b.servers[list[3].ID].version; got != before {
-		t.Errorf("version %d, %d before", got, before)
+		t.Errorf("version is %d, was %d", got, before)
 	}
 }
--- a/core/balance/sides.go
+++ b/core/balance/sides.go
@@ -9,36 +9,38 @@
 	"cardamomwick.example/core/counts"
 )
 
-// Limits of the boundary.
+// Boundary parameters.
 const (
-	// leastLong is the part of the engines that long prompts keep when there are
-	// too few for all.
-	leastLong = 0.2
-	// startShare holds before anything has arrived.
-	startShare = 0.5
-	// targetWeight is the weight of one long prompt in their usual target.
+	// minLongShare is the fraction of the engines that the long side keeps when there
+	// are too few for both sides.
+	minLongShare = 0.2
+	// initialLongShare is the long side's share before any calls have arrived.
+	initialLongShare = 0.5
+	// targetWeight is the weight of one long prompt in their average target.
 	targetWeight = 1.0 / 16
 )
 
-// sides parts a pool's engines into those for long prompts and the others.
+// sides partitions a pool's engines into a long side, for long prompts, and a short
+// side, for all other calls.
 type sides struct {
 	long, short meter
-	// longTarget is the usual target of long prompts.
-	longTarget time.Duration
-	share      float64
-	// engines are the IDs on the long side, sorted.
+	// meanLongTarget is the moving average of the long prompts' targets.
+	meanLongTarget time.Duration
+	share          float64
+	// engines are the IDs of the engines on the long side, sorted.
 	engines []string
-	// marked are the engines that were last noted as such.
-	marked []string
-	// since is when this instance first asked for the boundary; taken: it has had
-	// one from others.
-	since time.Time
-	taken bool
+	// applied is the value of engines that was last applied to the servers.
+	applied []string
+	// createdAt is when this instance first computed the boundary. adopted is set once
+	// it has used a boundary of another instance.
+	createdAt time.Time
+	adopted   bool
 	// movedAt is when the boundary last moved.
 	movedAt time.Time
-	// moved is the last move of the boundary that was not asked for yet.
-	moved *Move
-	// swappedAt is when engines last changed sides for their pace.
+	// pendingMove is the latest move not yet returned by BoundaryMoves.
+	pendingMove *BoundaryMove
+	// swappedAt is when engines were last swapped between the sides because of their
+	// pace.
 	swappedAt time.Time
 }
 
@@ -48,47 +50,47 @@
 	}
 	if long {
 		s.long.add(now, unread)
-		s.longTarget = smooth(s.longTarget, c.target(), targetWeight)
+		s.meanLongTarget = ewma(s.meanLongTarget, c.target(), targetWeight)
 		return
 	}
 	s.short.add(now, unread)
 }
 
-// longSide returns the engines for long prompts. One instance decides for all,
-// so that an engine is on the same side for everyone.
+// longSide returns the engines for long prompts. A single instance decides for all, so
+// that an engine is on the same side everywhere.
 func (b *Balancer) longSide(now time.Time, poolName string) []string {
 	p := b.pool(poolName)
-	if p.sides.since.IsZero() {
-		p.sides.since = now
+	if p.sides.createdAt.IsZero() {
+		p.sides.createdAt = now
 	}
 	if decider := b.decider(now); decider == nil {
-		p.markLong()
-		b.decide(now, p, poolName)
+		p.applySides()
+		b.assignSides(now, p, poolName)
 	} else if x, ok := decider.boundaries[poolName]; ok {
-		p.sides.take(x)
+		p.sides.adopt(x)
 	}
-	p.markLong()
+	p.applySides()
 	return p.sides.engines
 }
 
-// settleTime is how long an instance that has just started keeps its boundaries to
-// itself, unless it hears of others: it may be the one that decides, and its usual
-// beginning would move every second engine. The others notice a new instance, and
-// tell it theirs, within a second.
-const settleTime = 1500 * time.Millisecond
+// startupGrace is how long an instance that has just started does not advertise its
+// boundaries unless it has received others. If it is the one that decides, its initial
+// boundary would move every second engine. The other instances discover it and send
+// theirs within a second.
+const startupGrace = 1500 * time.Millisecond
 
-// settled reports whether others may go by this instance's boundary.
-func (s *sides) settled(now time.Time) bool {
-	return s.taken || !s.since.IsZero() && now.Sub(s.since) >= settleTime
+// ready reports whether this instance's boundary may be advertised.
+func (s *sides) ready(now time.Time) bool {
+	return s.adopted || !s.createdAt.IsZero() && now.Sub(s.createdAt) >= startupGrace
 }
 
-func (s *sides) take(x counts.Boundary) {
-	s.share, s.engines, s.taken = x.Share, x.Engines, true
+func (s *sides) adopt(x counts.Boundary) {
+	s.share, s.engines, s.adopted = x.Share, x.Engines, true
 }
 
-// decider returns the peer whose boundaries hold, nil for this instance: a
-// member goes by its collector's answer, a collector by the one with the first
-// name.
+// decider returns the peer whose boundaries apply, or nil if this instance decides. A
+// member uses the boundaries in its collector's answer; among collectors, the one with
+// the lowest name decides.
 func (b *Balancer) decider(now time.Time) *peer {
 	var found *peer
 	first := b.name
@@ -97,19 +99,19 @@
 		case p.member() || !p.fresh(now):
 		case p.kind == counts.Answer && len(p.boundaries) > 0:
 			return p
-		case p.decides && name < first:
+		case p.decidesBoundaries && name < first:
 			found, first = p, name
 		}
 	}
 	return found
 }
 
-// markLong notes at each engine which side it is on.
-func (p *pool) markLong() {
-	if slices.Equal(p.sides.marked, p.sides.engines) {
+// applySides updates the side of each server.
+func (p *pool) applySides() {
+	if slices.Equal(p.sides.applied, p.sides.engines) {
 		return
 	}
-	p.sides.marked = p.sides.engines
+	p.sides.applied = p.sides.engines
 	long := make(map[string]bool, len(p.sides.engines))
 	for _, id := range p.sides.engines {
 		long[id] = true
@@ -119,9 +121,9 @@
 	}
 }
 
-// decide moves the boundary where the arriving work asks for it. Engines stay
-// on their sides otherwise, since each move costs the shared parts they hold.
-func (b *Balancer) decide(now time.Time, p *pool, poolName string) {
+// assignSides moves the boundary where arrivals require it. Otherwise engines stay on
+// their side, since each move loses the shared parts they have cached.
+func (b *Balancer) assignSides(now time.Time, p *pool, poolName string) {
 	s := &p.sides
 	var long, others []*server
 	for _, e := range p.servers {
@@ -136,10 +138,10 @@
 	if len(long)+len(others) == 0 {
 		return
 	}
-	b.decideShare(now, p, poolName, len(long)+len(others))
+	b.updateShare(now, p, poolName, len(long)+len(others))
 	want := longCount(s.share, len(long)+len(others))
-	keepLast(long)
-	moveFirst(others)
+	sortStayFirst(long)
+	sortMoveFirst(others)
 	for len(long) < want {
 		long = append(long, others[0])
 		others = others[1:]
@@ -152,15 +154,15 @@
 	for _, e := range long {
 		s.engines = append(s.engines, e.ID)
 	}
-	// In one order whatever their load: an unchanged side is told only once.
+	// Sorted by ID, so that an unchanged side compares equal and is not sent again.
 	slices.Sort(s.engines)
 }
 
-// swapPeriod bounds how often two engines change sides for their pace alone.
+// swapPeriod is the minimum time between two swaps of engines because of their pace.
 const swapPeriod = 3 * time.Second
 
-// swapMisplaced exchanges a fast engine on the long side for a slow one among
-// the others, if there are such.
+// swapMisplaced exchanges a fast engine of the long side for a slow one of the short
+// side, if there are such.
 func swapMisplaced(long, others []*server) bool {
 	fast := slices.IndexFunc(long, func(e *server) bool { return !e.slow })
 	slow := slices.IndexFunc(others, func(e *server) bool { return e.slow })
@@ -171,10 +173,9 @@
 	return true
 }
 
-// moveFirst sorts the engines that should go to the long side first to the
-// front: slow ones, then those with the fewest streams that long prompts would
-// make late.
-func moveFirst(others []*server) {
+// sortMoveFirst sorts engines by their suitability for the long side: slow ones first,
+// then those with the fewest sensitive streams, which long prompts would delay.
+func sortMoveFirst(others []*server) {
 	sort.SliceStable(others, func(i, j int) bool {
 		if others[i].slow != others[j].slow {
 			return others[i].slow
@@ -183,10 +184,10 @@
 	})
 }
 
-// keepLast sorts the engines that should leave the long side first to the back:
-// fast ones, of these the ones with the least to read, since a chat that comes
-// there waits for it.
-func keepLast(long []*server) {
+// sortStayFirst sorts the engines of the long side so that those to move to the short
+// side come last: fast ones and, among these, the ones with the smallest backlog,
+// since chats sent there have to wait for it.
+func sortStayFirst(long []*server) {
 	sort.SliceStable(long, func(i, j int) bool {
 		if long[i].slow != long[j].slow {
 			return long[i].slow
@@ -195,6 +196,8 @@
 	})
 }
 
+// longCount returns the number of engines on the long side. Both sides get at least
+// one engine if there are two or more.
 func longCount(share float64, n int) int {
 	if n < 2 {
 		return 0
@@ -202,40 +205,41 @@
 	return max(1, min(n-1, int(math.Round(share*float64(n)))))
 }
 
-// Move is a move of a pool's boundary, with what decided it.
-type Move struct {
+// BoundaryMove describes a move of a pool's boundary and its cause.
+type BoundaryMove struct {
 	Pool string
-	// From and To are the parts of the engines that long prompts get.
+	// From and To are the long side's shares of the engines.
 	From, To float64
-	// Engines were usable; Short and Long are how many each side needed.
+	// Engines is the number of usable engines; Short and Long are how many each side
+	// needed.
 	Engines     int
 	Short, Long float64
-	// TokensPerSecond is the speed at which an engine reads.
+	// TokensPerSecond is the estimated prefill speed of an engine.
 	TokensPerSecond float64
 }
 
-// Moves returns the moves of boundaries since the last call.
-func (b *Balancer) Moves() []Move {
-	var out []Move
+// BoundaryMoves returns the boundary moves since the previous call.
+func (b *Balancer) BoundaryMoves() []BoundaryMove {
+	var out []BoundaryMove
 	for _, p := range b.pools {
-		if p.sides.moved != nil {
-			out = append(out, *p.sides.moved)
-			p.sides.moved = nil
+		if p.sides.pendingMove != nil {
+			out = append(out, *p.sides.pendingMove)
+			p.sides.pendingMove = nil
 		}
 	}
 	return out
 }
 
-// decideShare moves the boundary when one side needs more engines than it has.
-// When there are too few for all, the short side comes first: its calls are
-// worth most for an engine's time.
-func (b *Balancer) decideShare(now time.Time, p *pool, poolName string, engines int) {
+// updateShare moves the boundary when one side needs more engines than it has. When
+// there are too few for both, the short side takes precedence, because its calls have
+// the higher value per engine time.
+func (b *Balancer) updateShare(now time.Time, p *pool, poolName string, engines int) {
 	s := &p.sides
 	if s.share == 0 {
-		s.share = startShare
+		s.share = initialLongShare
 	}
 	short, long := b.needs(now, p, poolName)
-	if short+long < leastNeed {
+	if short+long < minNeed {
 		return
 	}
 	all := float64(engines)
@@ -246,24 +250,24 @@
 	from := s.share
 	to := long / (short + long)
 	if short+long > all {
-		to = max(leastLong, 1-short/all)
+		to = max(minLongShare, 1-short/all)
 	}
-	if math.Abs(to-from) < leastMove && now.Sub(s.movedAt) < movePeriod && short < all-onLong+1 {
+	if math.Abs(to-from) < minMove && now.Sub(s.movedAt) < movePeriod && short < all-onLong+1 {
 		return
 	}
 	s.share, s.movedAt = to, now
-	s.moved = &Move{Pool: poolName, From: from, To: s.share, Engines: engines, Short: short, Long: long, TokensPerSecond: p.speed.value()}
+	s.pendingMove = &BoundaryMove{Pool: poolName, From: from, To: s.share, Engines: engines, Short: short, Long: long, TokensPerSecond: p.speed.value()}
 }
 
-// leastMove is the part of the engines from which the boundary moves at once;
-// smaller moves wait for movePeriod after the last one, unless the short side,
-// whose calls rank higher, lacks an engine. While there are too few
-// engines for all, needs change with every call, and each engine that changes
-// sides takes the shared parts of its prompts away from those that come.
+// minMove is the change of the long side's share from which the boundary moves
+// immediately. Smaller moves wait until movePeriod after the last one, unless the
+// short side, whose calls take precedence, lacks an engine. When engines are scarce,
+// needs change with every call, and calls lose the cached parts of each engine that
+// changes sides.
 const (
-	leastMove  = 0.1
+	minMove    = 0.1
 	movePeriod = 2 * time.Second
 )
 
-// leastNeed is the need, in engines, from which the boundary is moved at all.
-const leastNeed = 0.05
+// minNeed is the total need, in engines, below which the boundary does not move.
+const minNeed = 0.05
--- a/core/balance/speed.go
+++ b/core/balance/speed.go
@@ -2,101 +2,105 @@
 
 import "time"
 
-// Limits of the learned speed.
+// Prefill speed estimation parameters.
 const (
-	// startSpeed holds before anything was observed, in prompt tokens per second.
-	startSpeed = 50_000
-	// leastRead is the least reading that tells the speed: for less, the time to
-	// the first event is mostly the network's and the first step's.
-	leastRead = 2500
-	// smallRead is the reading up to which the time to the first event is taken for
-	// what every call needs.
-	smallRead = 700
-	// baseDown and baseUp are the weights of an observation of that time below and
-	// above the value held.
-	baseDown, baseUp = 0.2, 0.02
-	// leastTook keeps the clock's grain out of the quotient.
-	leastTook = 5 * time.Millisecond
-	// speedUp and speedDown are the weights of an observation above and below the
-	// value held. An engine that was busy with calls that are not known here yet
-	// looks slow; nothing makes it look fast. Even weights came down to a third of
-	// the speed in a burst, and the boundary stood where nobody needed it.
-	speedUp, speedDown = 0.3, 0.03
-	// mostCalls bounds the weight of one instance's value among all.
-	mostCalls = 20
-	// mostOfHeld and leastOfHeld bound an observation against the value held.
-	mostOfHeld, leastOfHeld = 2.0, 0.5
+	// initialSpeed, in prompt tokens per second, applies until something is observed.
+	initialSpeed = 50_000
+	// minObservedTokens is the minimum number of processed tokens for a speed
+	// observation. With fewer, the time to the first event is mostly that of the
+	// network and of the first decoding step.
+	minObservedTokens = 2500
+	// maxBaseTokens is the number of processed tokens up to which the time to the
+	// first event is an observation of baseLatency.
+	maxBaseTokens = 700
+	// baseDownWeight and baseUpWeight are the weights of observations of baseLatency
+	// that are below and above its current value.
+	baseDownWeight, baseUpWeight = 0.2, 0.02
+	// minPrefillTime is the shortest prefill time used; below it, clock granularity
+	// distorts the quotient.
+	minPrefillTime = 5 * time.Millisecond
+	// speedUpWeight and speedDownWeight are the weights of observations above and
+	// below the current value. An engine that is busy with calls not yet known here
+	// looks slow, but nothing makes one look fast. With equal weights, the estimate
+	// fell to a third of the actual speed in a burst, and the boundary was misplaced.
+	speedUpWeight, speedDownWeight = 0.3, 0.03
+	// maxSpeedCalls bounds the weight of one instance's observations.
+	maxSpeedCalls = 20
+	// maxSpeedRatio and minSpeedRatio bound an observation relative to the current
+	// value.
+	maxSpeedRatio, minSpeedRatio = 2.0, 0.5
 )
 
-// Reading is the sum of the speeds, in prompt tokens per second, that were
-// observed in so many calls.
-type Reading struct {
+// SpeedSample is a sum of prefill speeds, in prompt tokens per second, and the number
+// of calls in which they were observed.
+type SpeedSample struct {
 	Sum   float64 `msgpack:"s"`
 	Calls float64 `msgpack:"c"`
 }
 
-func (r *Reading) add(x Reading) {
-	r.Sum += x.Sum
-	r.Calls += x.Calls
+func (s *SpeedSample) add(x SpeedSample) {
+	s.Sum += x.Sum
+	s.Calls += x.Calls
 }
 
-// speed is how fast the engines of a pool read prompts, among all else that
-// they do. It is taken from what all instances observe: one of many sees an idle
-// engine read a long prompt too seldom to know it within a burst, and what one
-// believes of the boundary all have to believe.
+// speed estimates how fast the engines of a pool process prompts alongside their other
+// work. It combines the observations of all instances: a single instance sees an idle
+// engine process a long prompt too rarely to learn the speed within a burst, and all
+// instances must use the same value to agree on the boundary.
 type speed struct {
-	own, others Reading
-	// base is the time to the first event of a call with next to nothing to read.
-	base time.Duration
+	own, others SpeedSample
+	// baseLatency is the time to the first event of a call with almost no prompt
+	// tokens to process.
+	baseLatency time.Duration
 }
 
 func (s *speed) value() float64 {
 	all := s.own
 	all.add(s.others)
 	if all.Calls == 0 {
-		return startSpeed
+		return initialSpeed
 	}
 	return all.Sum / all.Calls
 }
 
-// observe takes the time in which an engine that had nothing else to read read
-// between least and most tokens of a prompt: whether it had the shared parts
-// already is not known. Only what can't be so moves the value held; with the
-// least alone it began at half the speed, while nothing was cached yet.
+// observe records the time in which an otherwise idle engine processed between least
+// and most tokens of a prompt. The number is uncertain because it is unknown which
+// shared parts were cached. The estimate moves only if it lies outside the possible
+// range; using least alone, it started at half the speed while nothing was cached yet.
 func (s *speed) observe(least, most float64, took time.Duration) {
-	if most <= smallRead {
+	if most <= maxBaseTokens {
 		s.observeBase(took)
 		return
 	}
-	if least < leastRead || s.base == 0 || took-s.base < leastTook {
+	if least < minObservedTokens || s.baseLatency == 0 || took-s.baseLatency < minPrefillTime {
 		return
 	}
 	v := s.value()
-	read := (took - s.base).Seconds()
+	read := (took - s.baseLatency).Seconds()
 	seen := min(max(v, least/read), most/read)
-	seen = min(mostOfHeld*v, max(leastOfHeld*v, seen))
+	seen = min(maxSpeedRatio*v, max(minSpeedRatio*v, seen))
 	own := seen
 	if s.own.Calls > 0 {
 		own = s.own.Sum / s.own.Calls
-		weight := speedDown
+		weight := speedDownWeight
 		if seen > own {
-			weight = speedUp
+			weight = speedUpWeight
 		}
 		own += weight * (seen - own)
 	}
-	calls := min(mostCalls, s.own.Calls+1)
-	s.own = Reading{Sum: own * calls, Calls: calls}
+	calls := min(maxSpeedCalls, s.own.Calls+1)
+	s.own = SpeedSample{Sum: own * calls, Calls: calls}
 }
 
 func (s *speed) observeBase(took time.Duration) {
-	weight := baseUp
-	if took < s.base {
-		weight = baseDown
+	weight := baseUpWeight
+	if took < s.baseLatency {
+		weight = baseDownWeight
 	}
-	s.base = smooth(s.base, took, weight)
+	s.baseLatency = ewma(s.baseLatency, took, weight)
 }
 
-// time estimates how long reading takes.
-func (s *speed) time(tokens float64) time.Duration {
+// prefillTime estimates how long processing the tokens takes.
+func (s *speed) prefillTime(tokens float64) time.Duration {
 	return time.Duration(tokens / s.value() * float64(time.Second))
 }
--- a/core/balance/uses.go
+++ b/core/balance/uses.go
@@ -6,44 +6,44 @@
 	"cardamomwick.example/core/counts"
 )
 
-// Limits of the uses that are told.
+// Limits of the uses sent to peers.
 const (
-	// usesWindow is how far back a new peer is told uses.
-	usesWindow = 350 * time.Millisecond
-	// retellTime is how long a part's use at a server need not be told again: others
-	// take the part to be kept for much longer than that. Most uses of common parts
-	// are left out by it.
-	retellTime = time.Second
-	// keptUses bounds the uses that wait to be told; whoever is behind by more has
-	// lost them.
-	keptUses = 4096
+	// usesBacklog is how far back the uses sent to a new peer reach.
+	usesBacklog = 350 * time.Millisecond
+	// reannouncePeriod is the minimum time between two announcements of a part's use
+	// on the same server. Receivers assume the part to be cached for much longer. This
+	// suppresses most uses of common parts.
+	reannouncePeriod = time.Second
+	// maxLoggedUses bounds the number of logged uses. A peer that lags further behind
+	// misses some.
+	maxLoggedUses = 4096
 )
 
-// usesLog holds the latest uses of shared parts, own ones and those of others, for
-// all that are to be told.
-type usesLog struct {
+// useLog holds the latest uses of shared parts, by this instance and by others, that
+// are to be sent to peers.
+type useLog struct {
 	list []loggedUse
-	// first is the number of the first one in the list.
+	// first is the sequence number of list[0].
 	first uint64
 }
 
 type loggedUse struct {
 	counts.Use
 	at time.Time
-	// from told of it; nil for this instance.
+	// from is the peer that reported the use; nil for this instance.
 	from *peer
 }
 
-func (l *usesLog) add(now time.Time, from *peer, u counts.Use) {
+func (l *useLog) add(now time.Time, from *peer, u counts.Use) {
 	l.list = append(l.list, loggedUse{u, now, from})
-	if extra := len(l.list) - keptUses; extra >= keptUses {
+	if extra := len(l.list) - maxLoggedUses; extra >= maxLoggedUses {
 		l.list = append([]loggedUse(nil), l.list[extra:]...)
 		l.first += uint64(extra)
 	}
 }
 
-// before returns the number of the first use after a time.
-func (l *usesLog) before(t time.Time) uint64 {
+// firstAfter returns the sequence number of the first use after t.
+func (l *useLog) firstAfter(t time.Time) uint64 {
 	i := len(l.list)
 	for i > 0 && l.list[i-1].at.After(t) {
 		i--
@@ -51,17 +51,17 @@
 	return l.first + uint64(i)
 }
 
-// next returns the uses that a peer has not been told, as many as one message takes;
-// below: only those of this instance and of the members that are counted.
-func (l *usesLog) next(now time.Time, to *peer, below bool, counted func(*peer) bool) []counts.Use {
-	to.usesTold = max(to.usesTold, l.first)
+// next returns the uses to send to a peer, at most as many as one message holds. With
+// subtreeOnly, only those of this instance and of peers accepted by counted.
+func (l *useLog) next(now time.Time, to *peer, subtreeOnly bool, counted func(*peer) bool) []counts.Use {
+	to.nextUse = max(to.nextUse, l.first)
 	var out []counts.Use
-	for _, u := range l.list[to.usesTold-l.first:] {
+	for _, u := range l.list[to.nextUse-l.first:] {
 		if len(out) == counts.MostUses {
 			break
 		}
-		to.usesTold++
-		if u.from == to || below && u.from != nil && !counted(u.from) || now.Sub(u.at) > peerTime {
+		to.nextUse++
+		if u.from == to || subtreeOnly && u.from != nil && !counted(u.from) || now.Sub(u.at) > peerTTL {
 			continue
 		}
 		out = append(out, u.Use)
--- a/daemon/router/admission.go
+++ b/daemon/router/admission.go
@@ -23,10 +23,10 @@
 	r.mu.Lock()
 	c.forecast = r.balancer.Forecast(time.Now(), c.pool.Name, c.size, time.Until(c.arrived.Add(c.route.Silence())), time.Until(c.until))
 	r.mu.Unlock()
-	if c.forecast.Admission != balance.Hopeless {
+	if c.forecast.Admission != balance.Infeasible {
 		return true
 	}
-	room := max(leastComeBack, c.forecast.Room)
+	room := max(leastComeBack, c.forecast.RetryAfter)
 	c.comeBack = room + time.Duration(comeBackSpread*rand.Float64()*float64(room))
 	return false
 }
--- a/daemon/router/answer.go
+++ b/daemon/router/answer.go
@@ -43,10 +43,10 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	if resp.Answer.WrongServer {
-		r.balancer.Bad(now, s.ID, true)
+		r.balancer.RecordFailure(now, s.ID, true)
 		return notRun
 	}
-	r.balancer.Full(now, s.ID)
+	r.balancer.RecordFull(now, s.ID)
 	return notRun
 }
 
--- a/daemon/router/attempts_test.go
+++ b/daemon/router/attempts_test.go
@@ -50,7 +50,7 @@
 	next := former
 	next.Born, next.ID = 200, "s@200"
 	w.router.SetFleet([]fleet.Server{next})
-	for _, b := range w.router.balancer.Beliefs(time.Now(), "p") {
+	for _, b := range w.router.balancer.ServerStates(time.Now(), "p") {
 		if b.ID != next.ID || b.Failures != 0 || b.Load.Running != 0 {
 			t.Errorf("believed of the new start: %+v", b)
 		}
--- a/daemon/router/call.go
+++ b/daemon/router/call.go
@@ -150,7 +150,7 @@
 	if n := len(p.Parts); n > 0 {
 		out.Unshared = p.Parts[n-1].Tokens
 		if n > 1 {
-			out.Home = p.Parts[n-2].ID
+			out.AffinityKey = p.Parts[n-2].ID
 			for _, part := range p.Parts[:n-1] {
 				out.Chain = append(out.Chain, balance.Part{ID: part.ID, Tokens: part.Tokens})
 			}
@@ -163,7 +163,7 @@
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.balancer.Arrive(now, c.pool.Name, c.size)
+	r.balancer.RecordArrival(now, c.pool.Name, c.size)
 	r.budget(c.pool.Name).Call(now)
 }
 
@@ -216,7 +216,7 @@
 func (r *Router) began(c *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.balancer.Began(time.Now(), &c.ticket)
+	r.balancer.RecordFirstEvent(time.Now(), &c.ticket)
 }
 
 func (c *call) noteError(ctx context.Context, s fleet.Server, err error) verdict {
@@ -242,11 +242,11 @@
 func (r *Router) bad(id string, unreachable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.balancer.Bad(time.Now(), id, unreachable)
+	r.balancer.RecordFailure(time.Now(), id, unreachable)
 }
 
 func (r *Router) good(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.balancer.Good(time.Now(), id)
+	r.balancer.RecordSuccess(time.Now(), id)
 }
--- a/daemon/router/calllog.go
+++ b/daemon/router/calllog.go
@@ -88,7 +88,7 @@
 		f["expected"] = x.Admission.String()
 		f["expected_first_ms"] = x.First.Milliseconds()
 		f["expected_stream_ms"] = x.Stream.Milliseconds()
-		f["room_in_ms"] = x.Room.Milliseconds()
+		f["room_in_ms"] = x.RetryAfter.Milliseconds()
 	}
 	return log.WithFields(f)
 }
--- a/daemon/router/exchange.go
+++ b/daemon/router/exchange.go
@@ -76,7 +76,7 @@
 	defer r.mu.Unlock()
 	r.balancer.SetLevel(plan.Level)
 	r.balancer.SetInstances(r.opt.Entries())
-	r.balancer.Forget(now)
+	r.balancer.DropSilentPeers(now)
 	var out []addressed
 	for _, peer := range plan.Peers {
 		out = append(out, addressed{r.balancer.SumTo(now, peer.Name), peer})
@@ -93,7 +93,7 @@
 	table := r.opt.Table()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if table == nil || !r.balancer.KnowsAll() {
+	if table == nil || !r.balancer.SeesAllLoad() {
 		return nil
 	}
 	now := time.Now()
@@ -138,7 +138,7 @@
 func (r *Router) takeCounts(now time.Time, m *counts.Message) (answer counts.Message, asked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.balancer.Take(now, m)
+	r.balancer.Receive(now, m)
 	if m.Kind != counts.FromMember {
 		return counts.Message{}, false
 	}
@@ -156,7 +156,7 @@
 // logMoves logs the boundaries that this entry has moved.
 func (r *Router) logMoves() {
 	r.mu.Lock()
-	moves := r.balancer.Moves()
+	moves := r.balancer.BoundaryMoves()
 	r.mu.Unlock()
 	for _, m := range moves {
 		log.WithFields(log.Fields{"step": "move boundary", "pool": m.Pool, "from": rounded(m.From), "to": rounded(m.To), "engines": m.Engines,
--- a/daemon/router/limit.go
+++ b/daemon/router/limit.go
@@ -39,7 +39,7 @@
 	}
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
-	c.router.balancer.HeardLimit(time.Now(), s.ID, a.Limit)
+	c.router.balancer.RecordLimit(time.Now(), s.ID, a.Limit)
 }
 
 // logLimits logs the limits that have become known.
@@ -106,13 +106,13 @@
 	w.Late = now.Sub(c.arrived) >= c.route.TargetLatency
 	ahead := q.Ahead(w)
 	size := c.size
-	size.LeaveLimited = ahead > 0
+	size.SkipLimited = ahead > 0
 	if s, ok = r.balancer.Choose(now, c.pool.Name, size, tried, rand.Float64); ok {
 		c.ticket = r.balancer.Start(now, s.ID, c.size)
 		c.choice = s
 		return s, 0, true
 	}
-	wait, limited := r.balancer.TokenIn(now, c.pool.Name, tried, ahead)
+	wait, limited := r.balancer.TokenWait(now, c.pool.Name, tried, ahead)
 	if !limited {
 		return s, 0, false
 	}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -162,13 +162,13 @@
 }
 
 // Beliefs lists what placement holds of each server.
-func (r *Router) Beliefs() map[string][]balance.Belief {
+func (r *Router) Beliefs() map[string][]balance.ServerState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := map[string][]balance.Belief{}
+	out := map[string][]balance.ServerState{}
 	if t := r.opt.Table(); t != nil {
 		for _, p := range t.Pools() {
-			out[p.Name] = r.balancer.Beliefs(time.Now(), p.Name)
+			out[p.Name] = r.balancer.ServerStates(time.Now(), p.Name)
 		}
 	}
 	return out
--- a/daemon/router/stream.go
+++ b/daemon/router/stream.go
@@ -50,14 +50,14 @@
 func (r *Router) streamed(c *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.balancer.Streamed(time.Now(), &c.ticket, c.stream.gaps)
+	r.balancer.RecordStream(time.Now(), &c.ticket, c.stream.gaps)
 }
 
 // progress tells placement of a gap in a running stream.
 func (r *Router) progress(c *call, gap time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.balancer.Progress(&c.ticket, gap)
+	r.balancer.RecordGap(&c.ticket, gap)
 }
 
 // passStream passes whole events on as they come. When the server breaks off,
@@ -131,7 +131,7 @@
 	if !c.stream.started {
 		c.startStream(resp)
 	}
-	if gap, ok := c.stream.note(time.Now()); ok && c.size.Tokens >= balance.LongPrompt {
+	if gap, ok := c.stream.note(time.Now()); ok && c.size.Tokens >= balance.LongPromptTokens {
 		c.router.progress(c, gap)
 	}
 	c.dog.event(c.route.TargetGap)
--- a/daemon/router/watchdog.go
+++ b/daemon/router/watchdog.go
@@ -80,5 +80,5 @@
 func (r *Router) readingTime(c *call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.balancer.ReadingTime(c.pool.Name, c.ticket)
+	return r.balancer.PrefillTime(c.pool.Name, c.ticket)
 }
