--- a/core/bundle/bundle.go
+++ b/core/bundle/bundle.go
@@ -32,20 +32,20 @@
 // D returns the standard type.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Order is how calls of one class wait.
-type Order string
+// QueueOrder is how calls of one class wait.
+type QueueOrder string
 
 // Orders of waiting calls.
 const (
-	// OrderFIFO serves the oldest call first. The default.
-	OrderFIFO Order = "fifo"
-	// OrderNewest serves the newest call first; under overload more calls
+	// QueueFIFO serves the oldest call first. The default.
+	QueueFIFO QueueOrder = "fifo"
+	// QueueNewest serves the newest call first; under overload more calls
 	// meet their targets and some wait until they are refused.
-	OrderNewest Order = "newest"
-	// OrderAttainable serves the oldest call that can still meet its first-token
+	QueueNewest QueueOrder = "newest"
+	// QueueAttainable serves the oldest call that can still meet its first-token
 	// target; calls that have lost it run when there is none, and in a fixed
 	// part of the grants, so that each of them runs. Nothing is refused by it.
-	OrderAttainable Order = "attainable"
+	QueueAttainable QueueOrder = "attainable"
 )
 
 // GiveUp is when a waiting call is refused.
@@ -97,8 +97,8 @@
 	// Share is the guaranteed part of a pool's work under overload, 0 to 0.5.
 	Share float64 `toml:"share" msgpack:"s"`
 	// Order and GiveUp: see the types.
-	Order  Order  `toml:"order" msgpack:"r"`
-	GiveUp GiveUp `toml:"give_up" msgpack:"g"`
+	Order  QueueOrder `toml:"order" msgpack:"r"`
+	GiveUp GiveUp     `toml:"give_up" msgpack:"g"`
 	// MaxOutputTokens caps the output length. 0 is no cap.
 	MaxOutputTokens int `toml:"max_output_tokens" msgpack:"m,omitempty"`
 	// WhenIsolated and IsolatedFor: see the type.
--- a/core/bundle/check.go
+++ b/core/bundle/check.go
@@ -77,7 +77,7 @@
 func (b *Bundle) fillDefaults() {
 	for name, c := range b.Classes {
 		if c.Order == "" {
-			c.Order = OrderFIFO
+			c.Order = QueueFIFO
 		}
 		if c.GiveUp == "" {
 			c.GiveUp = GiveUpDeadline
@@ -152,7 +152,7 @@
 	c.require(x.Deadline >= x.FirstTokenTarget, key+".deadline", "must not be shorter than first_token_target")
 	c.require(x.PerTokenTarget >= 0 && x.TotalTarget >= 0, key, "targets must not be negative")
 	c.require(x.Share >= 0 && x.Share <= 0.5, key+".share", "must be 0 to 0.5")
-	c.require(x.Order == OrderFIFO || x.Order == OrderNewest || x.Order == OrderAttainable, key+".order", "must be \"fifo\", \"newest\" or \"attainable\"")
+	c.require(x.Order == QueueFIFO || x.Order == QueueNewest || x.Order == QueueAttainable, key+".order", "must be \"fifo\", \"newest\" or \"attainable\"")
 	c.require(x.GiveUp == GiveUpDeadline || x.GiveUp == GiveUpFirstToken, key+".give_up", "must be \"deadline\" or \"first_token\"")
 	c.require(x.MaxOutputTokens >= 0, key+".max_output_tokens", "must not be negative")
 	c.require(x.WhenIsolated == IsolatedRefuse || x.WhenIsolated == IsolatedServe, key+".when_isolated", "must be \"refuse\" or \"serve\"")
--- a/core/bundle/read.go
+++ b/core/bundle/read.go
@@ -16,8 +16,8 @@
 	HeaderSignature = "X-Signature"
 )
 
-// ReadWindow is how far a signed read's time may be from the daemon's clock.
-const ReadWindow = 30 * time.Second
+// MaxReadSkew is how far a signed read's time may be from the daemon's clock.
+const MaxReadSkew = 30 * time.Second
 
 func readBytes(method, uri, stamp string) []byte {
 	return []byte("cardamomwick read 1\n" + method + " " + uri + "\n" + stamp)
@@ -39,7 +39,7 @@
 	if err != nil {
 		return fmt.Errorf("header %s is missing or not a number", HeaderTimestamp)
 	}
-	if d := now.Sub(time.UnixMilli(ms)).Abs(); d > ReadWindow {
+	if d := now.Sub(time.UnixMilli(ms)).Abs(); d > MaxReadSkew {
 		return fmt.Errorf("the request's time is %v away from this instance's clock", d.Round(time.Second))
 	}
 	op, ok := operators[r.Header.Get(HeaderOperator)]
--- a/core/crashserver/crashserver.go
+++ b/core/crashserver/crashserver.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// Marker in a body makes the stand-ins of backend servers crash when they begin to
+// CrashMarker in a body makes the stand-ins of backend servers crash when they begin to
 // run the call.
-const Marker = "ends the server that runs it"
+const CrashMarker = "ends the server that runs it"
 
-// Lethal reports whether a body makes a stand-in crash.
-func Lethal(body []byte) bool { return bytes.Contains(body, []byte(Marker)) }
+// TriggersCrash reports whether a body makes a stand-in crash.
+func TriggersCrash(body []byte) bool { return bytes.Contains(body, []byte(CrashMarker)) }
 
 // Server serves at one address until it is stopped. Safe for concurrent use.
 type Server struct {
--- a/core/dispatch/pool_test.go
+++ b/core/dispatch/pool_test.go
@@ -16,18 +16,18 @@
 var t0 = time.Unix(1_800_000_000, 0)
 
 func class(tier int, share float64) bundle.Class {
-	return bundle.Class{Tier: tier, Share: share, Order: bundle.OrderFIFO, GiveUp: bundle.GiveUpDeadline,
+	return bundle.Class{Tier: tier, Share: share, Order: bundle.QueueFIFO, GiveUp: bundle.GiveUpDeadline,
 		FirstTokenTarget: bundle.Duration(400 * time.Millisecond), Deadline: bundle.Duration(time.Minute)}
 }
 
 func testPool(servers, slots int) *Pool {
 	p := NewPool(t0)
 	newest := class(4, 0.05)
-	newest.Order = bundle.OrderNewest
+	newest.Order = bundle.QueueNewest
 	early := class(2, 0.05)
 	early.GiveUp = bundle.GiveUpFirstToken
 	late := class(3, 0)
-	late.Order = bundle.OrderAttainable
+	late.Order = bundle.QueueAttainable
 	p.SetPolicy(Policy{
 		Classes:   map[string]bundle.Class{"top": class(1, 0), "check": early, "scene": class(3, 0.05), "summary": newest, "late": late},
 		Customers: map[string]bundle.Customer{"big": {Weight: 1}, "small": {Weight: 1}, "rated": {Weight: 1, RequestsPerSecond: 1, Burst: 2}, "capped": {Weight: 1, MaxRunning: 1}},
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -50,12 +50,12 @@
 	}
 }
 
-func (q *customerQueue) next(order bundle.Order) *waiting {
+func (q *customerQueue) next(order bundle.QueueOrder) *waiting {
 	q.trim()
 	if len(q.tickets) == 0 {
 		return nil
 	}
-	if order == bundle.OrderNewest {
+	if order == bundle.QueueNewest {
 		return q.tickets[len(q.tickets)-1]
 	}
 	return q.tickets[0]
@@ -145,7 +145,7 @@
 // next returns the customer and the ticket that the class would run next, nil
 // when none waits.
 func (c *classQueue) next(now time.Time) (*customerQueue, *waiting) {
-	if c.policy.Order == bundle.OrderAttainable && c.grants%lateEvery != lateEvery-1 {
+	if c.policy.Order == bundle.QueueAttainable && c.grants%lateEvery != lateEvery-1 {
 		if q, w := c.firstAttainable(now); w != nil {
 			return q, w
 		}
@@ -199,7 +199,7 @@
 func (c *classQueue) newest() *waiting {
 	var last *waiting
 	for _, q := range c.active {
-		if w := q.next(bundle.OrderNewest); w != nil && (last == nil || w.arrival.After(last.arrival)) {
+		if w := q.next(bundle.QueueNewest); w != nil && (last == nil || w.arrival.After(last.arrival)) {
 			last = w
 		}
 	}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -63,8 +63,8 @@
 	return out
 }
 
-// Given notes that an order was sent.
-func (p *Planner) Given(now time.Time, o *state.EngineOrder) {
+// OrderSent notes that an order was sent.
+func (p *Planner) OrderSent(now time.Time, o *state.EngineOrder) {
 	p.open[o.Pool] = openOrder{o.Server, now}
 }
 
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -33,7 +33,7 @@
 			t.Fatalf("orders %+v", list)
 		}
 		order = append(order, list[0].Server)
-		p.Given(now, &list[0])
+		p.OrderSent(now, &list[0])
 		if again := p.Next(now.Add(time.Second), b, engines); len(again) != 0 {
 			t.Fatalf("a second order while the first is carried out: %+v", again)
 		}
@@ -48,7 +48,7 @@
 	}
 	engines[2].Usable = true
 	list := p.Next(now, b, engines)
-	p.Given(now, &list[0])
+	p.OrderSent(now, &list[0])
 	if len(p.Next(now.Add(OrderTimeout/2), b, engines)) != 0 || len(p.Next(now.Add(OrderTimeout+time.Second), b, engines)) != 1 {
 		t.Fatal("an engine that never finishes is not given up in time")
 	}
--- a/core/routing/declaration.go
+++ b/core/routing/declaration.go
@@ -90,9 +90,9 @@
 	silentGaps    = 8
 )
 
-// Silence is how long callers wait for the next event of a stream, the first one
+// EventTimeout is how long callers wait for the next event of a stream, the first one
 // included, before they leave.
-func (r *Route) Silence() time.Duration {
+func (r *Route) EventTimeout() time.Duration {
 	if r.Semantics != Stream {
 		return r.Timeout
 	}
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -86,8 +86,8 @@
 func TestTierGoesBeforeRank(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("tier first", prop.ForAll(func(tierA, tierB, rankA, rankB int) bool {
-		a := (&Route{Tier: tierA}).Urgency(&Customer{Rank: rankA})
-		b := (&Route{Tier: tierB}).Urgency(&Customer{Rank: rankB})
+		a := (&Route{Tier: tierA}).Priority(&Customer{Rank: rankA})
+		b := (&Route{Tier: tierB}).Priority(&Customer{Rank: rankB})
 		return tierA >= tierB || a < b
 	}, gen.IntRange(0, 3), gen.IntRange(0, 3), gen.IntRange(0, 9), gen.IntRange(0, 9)))
 	p.TestingRun(t)
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -99,20 +99,20 @@
 	return r.Targets[len(r.Targets)-1].Pool
 }
 
-// Urgency ranks a call for waiting and preemption: 0 is the most urgent. The
+// Priority ranks a call for waiting and preemption: 0 is the most urgent. The
 // route's tier goes first, so that a higher tier is never preempted for a lower
 // one; the customer's rank orders the calls of equal tiers. customer may be nil.
-func (r *Route) Urgency(c *Customer) int {
+func (r *Route) Priority(c *Customer) int {
 	rank := 0
 	if c != nil {
 		rank = min(max(0, c.Rank), ranksPerTier-1)
 	}
-	return min(LeastUrgent, max(0, r.Tier)*ranksPerTier+rank)
+	return min(LowestPriority, max(0, r.Tier)*ranksPerTier+rank)
 }
 
 const (
 	// ranksPerTier is how many ranks of customers are told apart in one tier.
 	ranksPerTier = 3
-	// LeastUrgent is the last of the ten levels that engines tell apart.
-	LeastUrgent = 9
+	// LowestPriority is the last of the ten levels that engines tell apart.
+	LowestPriority = 9
 )
--- a/core/state/audit.go
+++ b/core/state/audit.go
@@ -11,12 +11,12 @@
 	"cardamomwick.example/core/bundle"
 )
 
-// keptAudit is how many audit entries the machine itself holds. Replicas also
-// append every entry to a file, which is not cut.
-const keptAudit = 2000
+// maxAuditEntries limits the audit entries held in memory. Replicas also append
+// every entry to a file, which is never truncated.
+const maxAuditEntries = 2000
 
-// AuditEntry is one accepted change. Hash covers all other fields, Previous
-// included, so that a changed or missing entry breaks the chain.
+// AuditEntry records one accepted operator order. Hash covers all other fields,
+// including Previous, so a modified or missing entry breaks the hash chain.
 type AuditEntry struct {
 	Sequence         uint64           `msgpack:"s" json:"sequence"`
 	AtMillis         int64            `msgpack:"a" json:"at_unix_ms"`
@@ -36,7 +36,7 @@
 	e.Hash = ""
 	data, err := msgpack.Marshal(&e)
 	if err != nil {
-		panic(err) // plain data; encoding to memory can't fail
+		panic(err) // unreachable: the struct has only encodable fields
 	}
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
@@ -55,12 +55,12 @@
 	e.Hash = e.computeHash()
 	s.LastHash = e.Hash
 	s.Tail = append(s.Tail, e)
-	if len(s.Tail) > keptAudit {
-		s.Tail = append([]AuditEntry(nil), s.Tail[len(s.Tail)-keptAudit:]...)
+	if len(s.Tail) > maxAuditEntries {
+		s.Tail = append([]AuditEntry(nil), s.Tail[len(s.Tail)-maxAuditEntries:]...)
 	}
 }
 
-// Audit returns the kept entries whose sequence is above after.
+// Audit returns the entries in memory whose sequence number is greater than after.
 func (m *Machine) Audit(after uint64) []AuditEntry {
 	for i, e := range m.audit.Tail {
 		if e.Sequence > after {
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// ErrAuditChain: an audit entry was changed, lost or put in.
+// ErrAuditChain reports that an audit entry was modified, removed or inserted.
 var ErrAuditChain = errors.New("audit chain is broken")
 
-// VerifyAudit checks consecutive entries against each other.
+// VerifyAudit verifies the hash chain of consecutive entries.
 func VerifyAudit(entries []AuditEntry) error {
 	for i, e := range entries {
 		if e.computeHash() != e.Hash {
--- a/core/state/calls.go
+++ b/core/state/calls.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Phase is how far a recorded call has come.
+// Phase is the processing state of a recorded call.
 type Phase uint8
 
 // Phases of a recorded call.
 const (
-	// PhaseAccepted: recorded, not dispatched. It may move to another owner.
+	// PhaseAccepted means recorded but not dispatched; another owner may take over.
 	PhaseAccepted Phase = iota + 1
-	// PhaseClaimed: the owner may have dispatched it.
+	// PhaseClaimed means the owner may have dispatched the call.
 	PhaseClaimed
-	// PhaseDone: Answer is final.
+	// PhaseDone means the call has finished and Answer is final.
 	PhaseDone
 )
 
-// CallRecord is what the group knows about one call.
+// CallRecord is the replicated state of one call.
 type CallRecord struct {
 	Key           CallKey        `msgpack:"k"`
 	Phase         Phase          `msgpack:"p"`
@@ -31,11 +31,12 @@
 	Answer        *StoredAnswer  `msgpack:"a,omitempty"`
 }
 
-// durable: the call came in by CommandAccept and must not be lost.
+// durable reports whether the call was recorded by CommandAccept, so that it must not
+// be lost.
 func (r *CallRecord) durable() bool { return r.Request != nil }
 
-// view returns a copy for the proposer, without the request's body.
-func (r *CallRecord) view() *CallRecord {
+// withoutRequest returns a copy that omits the stored request, to keep results small.
+func (r *CallRecord) withoutRequest() *CallRecord {
 	out := *r
 	out.Request = nil
 	return &out
@@ -43,25 +44,24 @@
 
 type callState struct {
 	records map[CallKey]*CallRecord
-	// byTime holds the keys roughly by their time, for pruning: bucket number
-	// (minutes) to keys.
-	byTime map[int64][]CallKey
-	// prunedTo is the first bucket that may still hold keys.
-	prunedTo int64
+	// keysByBucket groups keys by the minute of their timestamp, for pruning.
+	keysByBucket map[int64][]CallKey
+	// oldestBucket is the lowest bucket that may still contain keys.
+	oldestBucket int64
 }
 
 const bucketMillis = int64(time.Minute / time.Millisecond)
 
 func newCallState() callState {
-	return callState{records: map[CallKey]*CallRecord{}, byTime: map[int64][]CallKey{}}
+	return callState{records: map[CallKey]*CallRecord{}, keysByBucket: map[int64][]CallKey{}}
 }
 
 func (s *callState) put(r *CallRecord) {
 	s.records[r.Key] = r
 	b := r.Key.Millis / bucketMillis
-	s.byTime[b] = append(s.byTime[b], r.Key)
-	if s.prunedTo == 0 || b < s.prunedTo {
-		s.prunedTo = b
+	s.keysByBucket[b] = append(s.keysByBucket[b], r.Key)
+	if s.oldestBucket == 0 || b < s.oldestBucket {
+		s.oldestBucket = b
 	}
 }
 
@@ -87,13 +87,13 @@
 	return k.Pool < o.Pool
 }
 
-// prune forgets calls whose keys are refused by now. Open durable calls stay:
-// they must not be lost.
+// prune removes calls whose keys are too old to be accepted again. Unfinished durable
+// calls are kept because they must not be lost.
 func (s *callState) prune(now int64) {
 	limit := (now - Retention.Milliseconds()) / bucketMillis
-	for ; s.prunedTo != 0 && s.prunedTo < limit; s.prunedTo++ {
+	for ; s.oldestBucket != 0 && s.oldestBucket < limit; s.oldestBucket++ {
 		var kept []CallKey
-		for _, k := range s.byTime[s.prunedTo] {
+		for _, k := range s.keysByBucket[s.oldestBucket] {
 			r := s.records[k]
 			if r == nil {
 				continue
@@ -104,14 +104,15 @@
 			}
 			delete(s.records, k)
 		}
-		delete(s.byTime, s.prunedTo)
+		delete(s.keysByBucket, s.oldestBucket)
 		if len(kept) > 0 {
-			s.byTime[limit] = append(s.byTime[limit], kept...)
+			s.keysByBucket[limit] = append(s.keysByBucket[limit], kept...)
 		}
 	}
 }
 
-// expired reports whether a key is too old to be remembered or too far ahead.
+// expired reports whether a key's timestamp is older than the retention period or too
+// far in the future.
 func expired(k CallKey, now int64) bool {
 	return k.Millis < now-Retention.Milliseconds() || k.Millis > now+MaxSkew.Milliseconds()
 }
@@ -119,7 +120,7 @@
 func (s *callState) apply(t CommandType, c *CallCommand, now int64) Result {
 	r := s.records[c.Key]
 	if r != nil && c.RequestDigest != "" && r.RequestDigest != c.RequestDigest {
-		return Result{Code: CodeConflict, Message: "the idempotency key was used for another request", Record: r.view()}
+		return Result{Code: CodeConflict, Message: "the idempotency key was used for another request", Record: r.withoutRequest()}
 	}
 	switch t {
 	case CommandAccept:
@@ -148,12 +149,12 @@
 		return Result{Code: CodeExpired}
 	}
 	if r == nil {
-		return Result{Code: CodeOK, Record: s.create(c, PhaseAccepted).view()}
+		return Result{Code: CodeOK, Record: s.create(c, PhaseAccepted).withoutRequest()}
 	}
 	if r.CallID == c.CallID && r.Phase != PhaseDone {
-		return Result{Code: CodeOK, Record: r.view()}
+		return Result{Code: CodeOK, Record: r.withoutRequest()}
 	}
-	return Result{Code: CodeExists, Record: r.view()}
+	return Result{Code: CodeExists, Record: r.withoutRequest()}
 }
 
 func (s *callState) claim(r *CallRecord, c *CallCommand, now int64) Result {
@@ -161,13 +162,13 @@
 		return Result{Code: CodeExpired}
 	}
 	if r == nil {
-		return Result{Code: CodeOK, Record: s.create(c, PhaseClaimed).view()}
+		return Result{Code: CodeOK, Record: s.create(c, PhaseClaimed).withoutRequest()}
 	}
 	if r.CallID == c.CallID && r.Phase != PhaseDone {
 		r.Phase = PhaseClaimed
-		return Result{Code: CodeOK, Record: r.view()}
+		return Result{Code: CodeOK, Record: r.withoutRequest()}
 	}
-	return Result{Code: CodeExists, Record: r.view()}
+	return Result{Code: CodeExists, Record: r.withoutRequest()}
 }
 
 func (s *callState) release(r *CallRecord, c *CallCommand) Result {
@@ -175,11 +176,11 @@
 		return Result{Code: CodeOK}
 	}
 	if r.CallID != c.CallID || r.Phase != PhaseClaimed {
-		return Result{Code: CodeStale, Record: r.view()}
+		return Result{Code: CodeStale, Record: r.withoutRequest()}
 	}
 	if r.durable() {
 		r.Phase = PhaseAccepted
-		return Result{Code: CodeOK, Record: r.view()}
+		return Result{Code: CodeOK, Record: r.withoutRequest()}
 	}
 	delete(s.records, c.Key)
 	return Result{Code: CodeOK}
@@ -190,54 +191,55 @@
 		return Result{Code: CodeStale}
 	}
 	if r.Phase == PhaseDone {
-		return Result{Code: CodeOK, Record: r.view()}
+		return Result{Code: CodeOK, Record: r.withoutRequest()}
 	}
 	r.Phase = PhaseDone
 	r.Answer = c.Answer
 	r.Request = nil
-	return Result{Code: CodeOK, Record: r.view()}
+	return Result{Code: CodeOK, Record: r.withoutRequest()}
 }
 
-// takeOver moves a durable call whose owner is gone. A claimed call that is
-// not idempotent stays: it may have run.
+// takeOver assigns an unfinished durable call to a new owner. A claimed call that is
+// not idempotent is not reassigned, because it may already have run.
 func (s *callState) takeOver(r *CallRecord, c *CallCommand) Result {
 	if r == nil || !r.durable() || r.Phase == PhaseDone {
 		return Result{Code: CodeStale}
 	}
 	if r.CallID == c.CallID {
-		return s.taken(r)
+		return s.fullRecord(r)
 	}
 	if r.Owner != c.PreviousOwner || (r.Phase == PhaseClaimed && !r.Idempotent) {
-		return Result{Code: CodeStale, Record: r.view()}
+		return Result{Code: CodeStale, Record: r.withoutRequest()}
 	}
 	r.Owner = c.Owner
 	r.CallID = c.CallID
 	r.Phase = PhaseAccepted
-	return s.taken(r)
+	return s.fullRecord(r)
 }
 
-// taken answers with the whole record, which the new owner needs.
-func (s *callState) taken(r *CallRecord) Result {
+// fullRecord returns the record with its stored request, which the new owner needs.
+func (s *callState) fullRecord(r *CallRecord) Result {
 	out := *r
 	return Result{Code: CodeOK, Record: &out}
 }
 
-// Call returns what is known about a call.
+// Call returns a copy of a call's record without the stored request.
 func (m *Machine) Call(k CallKey) (CallRecord, bool) {
 	r, ok := m.calls.records[k]
 	if !ok {
 		return CallRecord{}, false
 	}
-	return *r.view(), true
+	return *r.withoutRequest(), true
 }
 
-// Orphan is an open durable call that another instance may take over.
+// Orphan identifies an unfinished durable call that another instance may take over.
 type Orphan struct {
 	Key   CallKey `msgpack:"k"`
 	Owner string  `msgpack:"o"`
 }
 
-// Orphans lists open durable calls whose owner is not alive, oldest first.
+// Orphans lists the durable calls that may be taken over because their owner is not
+// alive, oldest first.
 func (m *Machine) Orphans(alive func(owner string) bool) []Orphan {
 	var out []Orphan
 	for _, r := range m.calls.records {
@@ -250,5 +252,5 @@
 	return out
 }
 
-// Calls returns the number of remembered calls.
+// Calls returns the number of call records.
 func (m *Machine) Calls() int { return len(m.calls.records) }
--- a/core/state/command.go
+++ b/core/state/command.go
@@ -1,7 +1,7 @@
-// Package state is the replicated state machine: what the group of replicas
-// agrees on. It holds the configuration in force (bundles and retirements),
-// the audit trail and the records of calls that must not run twice or get
-// lost. Apply is deterministic: it reads no clock and no randomness.
+// Package state implements the replicated state machine. It holds the active
+// configuration (bundles and retired backend servers), the audit trail, routing,
+// quarantine, placement and duty state, and the records of calls that must not run
+// twice or be lost. Apply is deterministic: it reads neither a clock nor randomness.
 package state
 
 import (
@@ -17,101 +17,103 @@
 	"cardamomwick.example/core/wire"
 )
 
-// CommandType tells which field of a Command is meant.
+// CommandType selects the operation, and with it the field of Command that is used.
 type CommandType uint8
 
-// Kinds of commands.
+// Command types. The numbers are stored in the log.
 const (
-	// CommandGenesis names the operators trusted before the first bundle.
-	CommandGenesis CommandType = iota + 1
-	// CommandOrder is an operator's signed order.
+	// CommandBootstrap sets the operators trusted before the first bundle.
+	CommandBootstrap CommandType = iota + 1
+	// CommandOrder applies an operator's signed order.
 	CommandOrder
 	// CommandAccept records a durable call before it is acknowledged.
 	CommandAccept
-	// CommandClaim gives one entry the right to dispatch a call.
+	// CommandClaim grants one entry the exclusive right to dispatch a call.
 	CommandClaim
-	// CommandRelease returns a claim: the call certainly did not run.
+	// CommandRelease gives up a claim when the call certainly did not run.
 	CommandRelease
 	// CommandFinish records the outcome of a claimed call.
 	CommandFinish
-	// CommandTakeOver moves an open durable call to another instance.
+	// CommandTakeOver assigns an unfinished durable call to another instance.
 	CommandTakeOver
-	// CommandOrderLease renews, takes over or reads the lease for engine orders.
+	// CommandOrderLease renews, acquires or reads the lease for engine orders.
 	CommandOrderLease
 	// CommandEngineOrder records an engine order before it is sent.
 	CommandEngineOrder
-	// CommandDeclare puts a routing declaration in force.
+	// CommandDeclare activates a routing declaration.
 	CommandDeclare
-	// CommandWithdraw notes that backend servers leave.
+	// CommandWithdraw records that backend servers are draining or have departed.
 	CommandWithdraw
-	// CommandRegister remembers backend servers that have announced themselves.
+	// CommandRegister stores backend servers that have announced themselves.
 	CommandRegister
-	// CommandRule remembers a ruling of the quarantine.
-	CommandRule
-	// CommandDuty claims or releases the lease of a duty.
+	// CommandRuling stores a quarantine ruling.
+	CommandRuling
+	// CommandDuty claims or releases a duty's lease.
 	CommandDuty
-	// CommandAct records an effect of a duty before it is sent, and gives it its fence.
-	CommandAct
-	// CommandUsage counts what instances report of runs.
+	// CommandEffect records a duty's side effect before it is sent and assigns its
+	// fencing token.
+	CommandEffect
+	// CommandUsage adds the run counts reported by instances.
 	CommandUsage
 )
 
 // Command is one entry of the replicated log.
 type Command struct {
 	Type CommandType `msgpack:"t"`
-	// NowMillis is the leader's wall clock in Unix milliseconds. The state
-	// machine keeps the highest one seen, for retention only.
+	// NowMillis is the leader's wall clock in Unix milliseconds. The state machine
+	// keeps the maximum, for retention, rate limits, ruling ages and fencing tokens.
 	NowMillis int64               `msgpack:"n"`
-	Operators map[string]string   `msgpack:"o,omitempty"` // genesis: name to public key
+	Operators map[string]string   `msgpack:"o,omitempty"` // CommandBootstrap: name to public key
 	Order     *bundle.SignedOrder `msgpack:"r,omitempty"`
 	Call      *CallCommand        `msgpack:"c,omitempty"`
 	Lease     *LeaseCommand       `msgpack:"l,omitempty"`
 	Engine    *EngineOrder        `msgpack:"e,omitempty"`
 	Declare   *DeclareCommand     `msgpack:"d,omitempty"`
-	// Withdraw is one withdrawal; Withdrawals are any number.
+	// Withdraw holds a single withdrawal, Withdrawals a batch.
 	Withdraw    *fleet.Withdrawal  `msgpack:"w,omitempty"`
 	Withdrawals []fleet.Withdrawal `msgpack:"x,omitempty"`
-	// Register is one server, as in logs that older versions wrote; Servers are any
-	// number.
+	// Register holds a single server, as in logs written by older versions; Servers
+	// holds a batch.
 	Register *fleet.Server      `msgpack:"g,omitempty"`
 	Servers  []fleet.Server     `msgpack:"v,omitempty"`
-	Rule     *quarantine.Ruling `msgpack:"u,omitempty"`
+	Ruling   *quarantine.Ruling `msgpack:"u,omitempty"`
 	Duty     *DutyCommand       `msgpack:"y,omitempty"`
-	Act      *ActCommand        `msgpack:"a,omitempty"`
+	Effect   *EffectCommand     `msgpack:"a,omitempty"`
 	Reports  []usage.Report     `msgpack:"p,omitempty"`
 }
 
-// CallCommand is the subject of the commands about one call.
+// CallCommand holds the parameters of the commands about one call.
 type CallCommand struct {
 	Key CallKey `msgpack:"k"`
-	// CallID is drawn anew by each entry that handles the call; it makes
-	// resent commands idempotent.
+	// CallID is generated by each entry that handles the call; it makes retried
+	// commands idempotent.
 	CallID string `msgpack:"i"`
 	// Owner is the instance process that handles the call.
 	Owner string `msgpack:"o"`
-	// RequestDigest detects a key that is used again for another request.
+	// RequestDigest detects reuse of a key for a different request.
 	RequestDigest string `msgpack:"d,omitempty"`
 	Class         string `msgpack:"s,omitempty"`
 	Idempotent    bool   `msgpack:"p,omitempty"`
-	// Request is kept for durable calls until they finish.
+	// Request is stored until a durable call finishes.
 	Request *StoredRequest `msgpack:"q,omitempty"`
 	// Answer is set by CommandFinish.
 	Answer *StoredAnswer `msgpack:"a,omitempty"`
-	// PreviousOwner is whom CommandTakeOver expects.
+	// PreviousOwner is the owner that CommandTakeOver expects to replace.
 	PreviousOwner string `msgpack:"w,omitempty"`
 }
 
-// CallKey identifies a call over resends by its caller.
+// CallKey identifies a call across its caller's retries.
 type CallKey struct {
 	Customer string `msgpack:"c"`
 	Pool     string `msgpack:"p"`
 	// Key is the caller's idempotency key, a UUIDv7.
 	Key string `msgpack:"k"`
-	// Millis is the key's own time in Unix milliseconds.
+	// Millis is the timestamp within the key, in Unix milliseconds.
 	Millis int64 `msgpack:"m"`
 }
 
-// StoredRequest is what another instance needs to run a durable call.
+// StoredRequest holds the request data that another instance needs to run a durable
+// call.
 type StoredRequest struct {
 	Method      string `msgpack:"m"`
 	Path        string `msgpack:"p"`
@@ -119,18 +121,18 @@
 	Body        []byte `msgpack:"b"`
 }
 
-// Outcome is the final word on a call.
+// Outcome is the final result of a call.
 type Outcome string
 
-// The three outcomes of a call.
+// Call outcomes.
 const (
 	OutcomeCompleted Outcome = "completed"
 	OutcomeNotRun    Outcome = "not_run"
 	OutcomeUnknown   Outcome = "unknown"
 )
 
-// StoredAnswer is a recorded answer. Truncated answers keep their status and
-// digest only.
+// StoredAnswer is a recorded answer. The body of an answer that is too large is
+// dropped and Truncated is set.
 type StoredAnswer struct {
 	Outcome     Outcome `msgpack:"o"`
 	Status      int     `msgpack:"s"`
@@ -141,72 +143,75 @@
 
 // Limits on stored calls.
 const (
-	// Retention is how long a call is remembered, counted from its key's time.
-	// Older keys are refused, so that forgetting can't cause a second run.
+	// Retention is how long a call is stored, measured from its key's timestamp. Older
+	// keys are rejected, so that an expired record can't cause a second run.
 	Retention = 10 * time.Minute
-	// MaxSkew is how far ahead of the group's clock a key's time may be.
+	// MaxSkew is how far a key's timestamp may be ahead of the group's clock.
 	MaxSkew = time.Minute
-	// MaxStoredAnswer bounds a recorded answer's body in bytes.
+	// MaxStoredAnswer limits a recorded answer's body, in bytes.
 	MaxStoredAnswer = 16 << 10
-	// MaxStoredRequest bounds a durable call's body in bytes.
+	// MaxStoredRequest limits a durable call's request body, in bytes.
 	MaxStoredRequest = 256 << 10
 )
 
-// Code tells how a command ended.
+// Code is the result code of a command.
 type Code string
 
-// Codes of results.
+// Result codes.
 const (
 	CodeOK Code = "ok"
-	// CodeConflict: another version or another request holds the name.
+	// CodeConflict means the version or the idempotency key is already used for other
+	// content.
 	CodeConflict Code = "conflict"
-	// CodeExists: the call is handled or finished elsewhere; see Record.
+	// CodeExists means the call is handled or finished elsewhere (see Record), or the
+	// change is already in effect.
 	CodeExists Code = "exists"
-	// CodeExpired: the key's time is outside what is remembered.
+	// CodeExpired means the key's timestamp is outside the retention period.
 	CodeExpired Code = "expired"
-	// CodeStale: the order expects another generation, or the command comes
-	// from an entry that no longer holds the call.
+	// CodeStale means the order expects another generation, or the sender no longer
+	// owns the call or lease.
 	CodeStale Code = "stale"
-	// CodeRefused: not signed by a known operator, or invalid.
+	// CodeRefused means the command is invalid, over a limit, or not signed by a known
+	// operator.
 	CodeRefused Code = "refused"
 )
 
-// Result is what Apply answers to the proposer.
+// Result is what Apply returns to the proposer.
 type Result struct {
 	Code    Code        `msgpack:"c" json:"code"`
 	Message string      `msgpack:"m,omitempty" json:"message,omitempty"`
 	Order   OrderResult `msgpack:"o,omitempty" json:"order"`
 	Record  *CallRecord `msgpack:"r,omitempty" json:"-"`
 	Lease   *duty.Lease `msgpack:"l,omitempty" json:"-"`
-	// Fence is the token of the effect that was recorded.
+	// Fence is the fencing token of the recorded effect.
 	Fence  uint64        `msgpack:"f,omitempty" json:"-"`
 	Window *usage.Record `msgpack:"w,omitempty" json:"-"`
-	// Counted has the last report that is counted of each process named in the command.
+	// Counted maps each process in the command to its last counted report number.
 	Counted map[string]uint64 `msgpack:"n,omitempty" json:"-"`
 }
 
 // OrderResult describes the effect of an operator's order.
 type OrderResult struct {
-	// Generation is the one that the order brought in force, or the current
-	// one when it changed nothing.
+	// Generation is the generation the order created, or the current one if the order
+	// changed nothing.
 	Generation uint64 `msgpack:"g" json:"generation"`
 	Version    uint64 `msgpack:"v" json:"version"`
-	// WinnerDigest and WinnerOperator name the bundle that holds a contested
-	// version.
+	// WinnerDigest and WinnerOperator describe the bundle already published under a
+	// conflicting version.
 	WinnerDigest   string `msgpack:"d,omitempty" json:"winner_digest,omitempty"`
 	WinnerOperator string `msgpack:"o,omitempty" json:"winner_operator,omitempty"`
 }
 
-// Encode returns the command's bytes.
+// Encode serializes the command.
 func (c *Command) Encode() []byte {
 	data, err := msgpack.Marshal(c)
 	if err != nil {
-		panic(err) // plain data; encoding to memory can't fail
+		panic(err) // unreachable: the struct has only encodable fields
 	}
 	return data
 }
 
-// DecodeCommand reads a command's bytes.
+// DecodeCommand parses a serialized command.
 func DecodeCommand(data []byte) (*Command, error) {
 	var c Command
 	if err := wire.Decode(data, &c); err != nil {
--- a/core/state/config.go
+++ b/core/state/config.go
@@ -8,15 +8,15 @@
 	"cardamomwick.example/core/bundle"
 )
 
-// Bounds on what the machine remembers about configurations.
+// Limits on the stored configuration history.
 const (
-	// keptVersions is how many bundle versions can be rolled forward to.
-	keptVersions = 32
-	// keptAnswers is how many orders' answers are kept for resends.
-	keptAnswers = 1024
+	// maxStoredVersions limits the bundle versions available for roll-forward.
+	maxStoredVersions = 32
+	// maxOrderResults limits the order results kept to answer retries.
+	maxOrderResults = 1024
 )
 
-// storedVersion is a bundle that was signed off. Winner facts never change.
+// storedVersion is a published bundle. Only Withdrawn changes after it is stored.
 type storedVersion struct {
 	Version    uint64 `msgpack:"v"`
 	Digest     string `msgpack:"d"`
@@ -26,34 +26,34 @@
 	Content    []byte `msgpack:"c"`
 }
 
-type orderAnswer struct {
+type storedOrderResult struct {
 	ID     string `msgpack:"i"`
 	Result Result `msgpack:"r"`
 }
 
 type configState struct {
 	history History
-	// trusted holds the genesis operators until the first bundle names its own.
-	trusted  map[string]bundle.Operator
-	versions []storedVersion // by rising version
-	// highest is the highest version ever accepted.
+	// bootstrapOperators is used until the first bundle defines its own operators.
+	bootstrapOperators map[string]bundle.Operator
+	versions           []storedVersion // in ascending order
+	// highest is the highest version ever published.
 	highest uint64
-	// inForce lists the versions that were in force, latest last.
-	inForce []uint64
-	answers []orderAnswer
+	// activated lists the versions in order of activation, latest last.
+	activated    []uint64
+	orderResults []storedOrderResult
 }
 
 func newConfigState() configState {
 	return configState{history: NewHistory()}
 }
 
-func (s *configState) genesis(keys map[string]string) Result {
-	if s.trusted != nil {
+func (s *configState) bootstrap(keys map[string]string) Result {
+	if s.bootstrapOperators != nil {
 		return Result{Code: CodeExists}
 	}
-	s.trusted = map[string]bundle.Operator{}
+	s.bootstrapOperators = map[string]bundle.Operator{}
 	for name, key := range keys {
-		s.trusted[name] = bundle.Operator{PublicKey: key}
+		s.bootstrapOperators[name] = bundle.Operator{PublicKey: key}
 	}
 	return Result{Code: CodeOK}
 }
@@ -62,16 +62,16 @@
 	if s.history.current.Bundle != nil {
 		return s.history.current.Bundle.Operators
 	}
-	return s.trusted
+	return s.bootstrapOperators
 }
 
-// Config returns the configuration in force.
+// Config returns the active configuration.
 func (m *Machine) Config() Config { return m.config.history.current }
 
-// UpdateSince returns what a holder of the given generation lacks.
+// UpdateSince returns the update from the given generation to the active one.
 func (m *Machine) UpdateSince(generation uint64) Update { return m.config.history.Since(generation) }
 
-// activate puts a stored version in force as a new generation.
+// activate makes a stored version the active bundle in a new generation.
 func (s *configState) activate(v storedVersion) error {
 	b, err := bundle.Decode(v.Content)
 	if err != nil {
@@ -82,9 +82,9 @@
 		from = &bundle.Bundle{}
 	}
 	s.history.advance(Change{Delta: bundle.Diff(from, b)})
-	s.inForce = append(s.inForce, v.Version)
-	if len(s.inForce) > keptVersions {
-		s.inForce = slices.Clone(s.inForce[len(s.inForce)-keptVersions:])
+	s.activated = append(s.activated, v.Version)
+	if len(s.activated) > maxStoredVersions {
+		s.activated = slices.Clone(s.activated[len(s.activated)-maxStoredVersions:])
 	}
 	return nil
 }
@@ -101,29 +101,29 @@
 func (s *configState) store(v storedVersion) {
 	s.versions = append(s.versions, v)
 	s.highest = v.Version
-	if len(s.versions) > keptVersions {
-		s.versions = slices.Clone(s.versions[len(s.versions)-keptVersions:])
+	if len(s.versions) > maxStoredVersions {
+		s.versions = slices.Clone(s.versions[len(s.versions)-maxStoredVersions:])
 	}
 }
 
-func (s *configState) remember(id string, r Result) {
-	s.answers = append(s.answers, orderAnswer{id, r})
-	if len(s.answers) > keptAnswers {
-		s.answers = slices.Clone(s.answers[len(s.answers)-keptAnswers:])
+func (s *configState) storeResult(id string, r Result) {
+	s.orderResults = append(s.orderResults, storedOrderResult{id, r})
+	if len(s.orderResults) > maxOrderResults {
+		s.orderResults = slices.Clone(s.orderResults[len(s.orderResults)-maxOrderResults:])
 	}
 }
 
-func (s *configState) answered(id string) (Result, bool) {
-	for i := len(s.answers) - 1; i >= 0; i-- {
-		if s.answers[i].ID == id {
-			return s.answers[i].Result, true
+func (s *configState) storedResult(id string) (Result, bool) {
+	for i := len(s.orderResults) - 1; i >= 0; i-- {
+		if s.orderResults[i].ID == id {
+			return s.orderResults[i].Result, true
 		}
 	}
 	return Result{}, false
 }
 
-// versionInForce returns the version of the current bundle, 0 for none.
-func (s *configState) versionInForce() uint64 {
+// activeVersion returns the version of the active bundle, or 0 if there is none.
+func (s *configState) activeVersion() uint64 {
 	if s.history.current.Bundle == nil {
 		return 0
 	}
@@ -131,20 +131,20 @@
 }
 
 type configSnapshot struct {
-	Generation uint64                     `msgpack:"g"`
-	Bundle     []byte                     `msgpack:"b,omitempty"`
-	Retired    map[string]uint64          `msgpack:"r"`
-	Trusted    map[string]bundle.Operator `msgpack:"t"`
-	Versions   []storedVersion            `msgpack:"v"`
-	Highest    uint64                     `msgpack:"h"`
-	InForce    []uint64                   `msgpack:"f"`
-	Changes    []Change                   `msgpack:"c"`
-	Answers    []orderAnswer              `msgpack:"a"`
+	Generation         uint64                     `msgpack:"g"`
+	Bundle             []byte                     `msgpack:"b,omitempty"`
+	Retired            map[string]uint64          `msgpack:"r"`
+	BootstrapOperators map[string]bundle.Operator `msgpack:"t"`
+	Versions           []storedVersion            `msgpack:"v"`
+	Highest            uint64                     `msgpack:"h"`
+	Activated          []uint64                   `msgpack:"f"`
+	Changes            []Change                   `msgpack:"c"`
+	OrderResults       []storedOrderResult        `msgpack:"a"`
 }
 
 func (s *configState) snapshot() configSnapshot {
-	out := configSnapshot{Generation: s.history.current.Generation, Retired: s.history.current.Retired, Trusted: s.trusted,
-		Versions: s.versions, Highest: s.highest, InForce: s.inForce, Changes: s.history.changes, Answers: s.answers}
+	out := configSnapshot{Generation: s.history.current.Generation, Retired: s.history.current.Retired, BootstrapOperators: s.bootstrapOperators,
+		Versions: s.versions, Highest: s.highest, Activated: s.activated, Changes: s.history.changes, OrderResults: s.orderResults}
 	if s.history.current.Bundle != nil {
 		out.Bundle = s.history.current.Bundle.Canonical()
 	}
@@ -153,9 +153,9 @@
 
 func (c *configSnapshot) restore() (configState, error) {
 	u := Update{Generation: c.Generation, Full: true, Bundle: c.Bundle, Retired: c.Retired}
-	current, err := u.full()
-	return configState{history: History{current, c.Changes}, trusted: c.Trusted, versions: c.Versions, highest: c.Highest,
-		inForce: c.InForce, answers: c.Answers}, err
+	current, err := u.fullConfig()
+	return configState{history: History{current, c.Changes}, bootstrapOperators: c.BootstrapOperators, versions: c.Versions, highest: c.Highest,
+		activated: c.Activated, orderResults: c.OrderResults}, err
 }
 
 func contentDigest(content []byte) string {
--- a/core/state/duties.go
+++ b/core/state/duties.go
@@ -9,44 +9,45 @@
 	"cardamomwick.example/core/usage"
 )
 
-// DutyCommand claims or releases the lease of a duty.
+// DutyCommand claims or releases a duty's lease.
 type DutyCommand struct {
 	Duty  string     `msgpack:"d"`
 	Claim duty.Claim `msgpack:"c"`
 }
 
-// ActCommand records an effect of a duty. It has no effect unless its sender holds the
-// duty in the term it names.
-type ActCommand struct {
+// EffectCommand records a duty's side effect. It is rejected unless the sender holds the
+// duty's lease in the given term.
+type EffectCommand struct {
 	Duty   string `msgpack:"d"`
 	Holder string `msgpack:"o"`
 	Term   uint64 `msgpack:"t"`
-	// Close closes a window of usage, to be reported with the fence given out.
+	// Close closes a usage window, to be reported with the assigned fencing token.
 	Close usage.Window `msgpack:"w,omitempty"`
-	// Taken notes that a window has been taken; no fence is given out for it.
+	// Taken marks a closed window as acknowledged by the provider; the fencing token is
+	// not used.
 	Taken usage.Window `msgpack:"k,omitempty"`
-	// Forget drops windows before this one that were taken.
+	// Forget deletes the acknowledged windows before this one.
 	Forget usage.Window `msgpack:"x,omitempty"`
-	// Order is an order of backend servers, to be sent with the fence given out.
+	// Order is an order for backend servers, to be sent with the assigned fencing token.
 	Order *capacity.Order `msgpack:"r,omitempty"`
 }
 
-// mostDuties bounds what a faulty sender can make the log remember.
-const mostDuties = 64
+// maxDuties limits the state that a faulty sender can create.
+const maxDuties = 64
 
-// dutyState is the part of the machine that holds duties and what they have done.
+// dutyState holds the leases of duties and the results of their effects.
 type dutyState struct {
 	Duties map[string]duty.State `msgpack:"d,omitempty"`
 	Usage  usage.Ledger          `msgpack:"u"`
-	// Orders are the last ones of each subject.
+	// Orders holds the latest orders of each subject.
 	Orders capacity.Orders `msgpack:"o,omitempty"`
-	// Revision rises with every change of the above.
+	// Revision increases with every change of the other fields.
 	Revision uint64 `msgpack:"r"`
 }
 
 func (s *dutyState) claim(c *DutyCommand) Result {
 	d, known := s.Duties[c.Duty]
-	if !known && len(s.Duties) >= mostDuties {
+	if !known && len(s.Duties) >= maxDuties {
 		return Result{Code: CodeRefused, Message: "too many duties"}
 	}
 	code := CodeOK
@@ -65,8 +66,8 @@
 	s.Revision++
 }
 
-// act records an effect of the duty's holder.
-func (s *dutyState) act(c *ActCommand, nowMillis int64) Result {
+// recordEffect applies an effect command and assigns its fencing token.
+func (s *dutyState) recordEffect(c *EffectCommand, nowMillis int64) Result {
 	d := s.Duties[c.Duty]
 	fence, ok := d.NextFence(c.Holder, c.Term, nowMillis)
 	if !ok {
@@ -96,8 +97,8 @@
 	return res
 }
 
-// report counts what instances tell of runs.
-func (s *dutyState) report(list []usage.Report) Result {
+// countReports adds the reported run counts to the usage ledger.
+func (s *dutyState) countReports(list []usage.Report) Result {
 	res := Result{Code: CodeOK, Counted: make(map[string]uint64, len(list))}
 	for _, r := range list {
 		s.Usage.Take(r)
@@ -107,7 +108,7 @@
 	return res
 }
 
-// Duties is what readers outside the log need of the duties. Read only.
+// Duties is a read-only copy of the committed duty state.
 type Duties struct {
 	Duties   map[string]duty.State
 	Usage    usage.View
@@ -115,11 +116,11 @@
 	Revision uint64
 }
 
-// Duties returns a copy of what is committed about duties.
+// Duties returns a copy of the committed duty state.
 func (m *Machine) Duties() Duties {
 	s := &m.duties
 	return Duties{Duties: maps.Clone(s.Duties), Usage: s.Usage.View(), Orders: slices.Clone(s.Orders), Revision: s.Revision}
 }
 
-// DutiesRevision returns the revision of what Duties would return.
+// DutiesRevision returns the current revision of the duty state.
 func (m *Machine) DutiesRevision() uint64 { return m.duties.Revision }
--- a/core/state/duties_test.go
+++ b/core/state/duties_test.go
@@ -27,13 +27,13 @@
 	return &Command{Type: CommandUsage, Reports: []usage.Report{{Teller: "a", Number: number, Rows: []usage.Row{{Window: w, Customer: "x", Runs: runs}}}}}
 }
 
-// TestDutiesOutliveASnapshot: a replica that starts from a snapshot goes on as the others
-// do, also from one without open windows.
-func TestDutiesOutliveASnapshot(t *testing.T) {
+// A replica restored from a snapshot continues like one that was never restarted, also
+// when the snapshot has no open usage windows.
+func TestDutiesSurviveSnapshot(t *testing.T) {
 	m := New()
 	term := holder(t, m, "a")
 	apply(t, m, report(1, 7, 3))
-	first := apply(t, m, &Command{Type: CommandAct, NowMillis: 1000, Act: &ActCommand{Duty: "usage", Holder: "a", Term: term, Close: 7}})
+	first := apply(t, m, &Command{Type: CommandEffect, NowMillis: 1000, Effect: &EffectCommand{Duty: "usage", Holder: "a", Term: term, Close: 7}})
 	if first.Code != CodeOK || first.Window.Counts["x"] != 3 {
 		t.Fatalf("close: %+v", first)
 	}
@@ -42,27 +42,27 @@
 		t.Fatal(err)
 	}
 	for _, x := range []*Machine{m, restored} {
-		apply(t, x, report(1, 7, 3)) // counted already
+		apply(t, x, report(1, 7, 3)) // duplicate report
 		apply(t, x, report(2, 8, 4))
-		r := apply(t, x, &Command{Type: CommandAct, Act: &ActCommand{Duty: "usage", Holder: "a", Term: term, Close: 8}})
+		r := apply(t, x, &Command{Type: CommandEffect, Effect: &EffectCommand{Duty: "usage", Holder: "a", Term: term, Close: 8}})
 		if r.Window == nil || r.Window.Counts["x"] != 4 || r.Fence != first.Fence+1 {
 			t.Errorf("after the snapshot: %+v, want 4 runs and fence %d", r, first.Fence+1)
 		}
 	}
 	if string(m.Snapshot()) != string(restored.Snapshot()) {
-		t.Error("a replica that started from a snapshot has come to another state")
+		t.Error("the restored replica's state differs from the original's")
 	}
 }
 
-// TestAFormerHoldersEffectsAreRefused, and change nothing.
-func TestAFormerHoldersEffectsAreRefused(t *testing.T) {
+// An effect sent under a previous term is rejected and changes nothing.
+func TestEffectOfFormerHolderIsRejected(t *testing.T) {
 	m := New()
 	former := holder(t, m, "a")
 	holder(t, m, "b")
 	order := &capacity.Order{Subject: capacity.Subject{Pool: "p", Zone: "z"}, Count: 4}
-	r := apply(t, m, &Command{Type: CommandAct, Act: &ActCommand{Duty: "usage", Holder: "a", Term: former, Close: 7, Order: order}})
+	r := apply(t, m, &Command{Type: CommandEffect, Effect: &EffectCommand{Duty: "usage", Holder: "a", Term: former, Close: 7, Order: order}})
 	d := m.Duties()
 	if r.Code != CodeStale || r.Fence != 0 || d.Usage.Through != 0 || len(d.Orders) != 0 {
-		t.Errorf("%+v; %+v", r, d)
+		t.Errorf("effect of the former holder: result %+v, duties %+v; want CodeStale and no change", r, d)
 	}
 }
--- a/core/state/fuzz_test.go
+++ b/core/state/fuzz_test.go
@@ -7,15 +7,15 @@
 	"cardamomwick.example/core/quarantine"
 )
 
-// Whatever stands in the log, each replica applies it without failing, and comes to
-// a state that can be saved and restored.
+// Any log entry can be applied without a panic, and the resulting state can be saved and
+// restored.
 func FuzzCommand(f *testing.F) {
 	for _, c := range []Command{
 		{Type: CommandDeclare, Declare: &DeclareCommand{Version: 3, Declaration: []byte("d"), Source: []byte("s")}},
 		{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "a", Phase: fleet.Departed}},
 		{Type: CommandRegister, Servers: []fleet.Server{{ID: "b", Pool: "p"}, {ID: "c@1", Name: "c", Born: 1}}},
 		{Type: CommandRegister, Register: &fleet.Server{ID: "a@7", Name: "a", Born: 7, Pool: "p"}},
-		{Type: CommandRule, Rule: &quarantine.Ruling{Standing: quarantine.Held, Version: 2, Servers: []string{"a"}}},
+		{Type: CommandRuling, Ruling: &quarantine.Ruling{Standing: quarantine.Held, Version: 2, Servers: []string{"a"}}},
 		{Type: CommandOrderLease, Lease: &LeaseCommand{Owner: "x"}},
 		{Type: CommandClaim, Call: &CallCommand{CallID: "c", Owner: "o", Key: CallKey{Key: "k", Millis: 5}}},
 	} {
--- a/core/state/history.go
+++ b/core/state/history.go
@@ -7,28 +7,29 @@
 	"cardamomwick.example/core/bundle"
 )
 
-// keptChanges is how many generations back a delta can be served.
-const keptChanges = 256
+// maxHistoryChanges is the largest number of generations that an incremental update
+// can span.
+const maxHistoryChanges = 256
 
-// Config is the configuration in force. Values are shared and read-only.
+// Config is the active configuration. Values are shared and read-only.
 type Config struct {
-	// Generation rises by one with every accepted order and never goes back.
+	// Generation increases by one with every accepted order and never decreases.
 	Generation uint64
 	// Bundle is nil before the first publish.
 	Bundle *bundle.Bundle
-	// Retired maps retired backend servers to the generation that did it.
+	// Retired maps each retired backend server to the generation that retired it.
 	Retired map[string]uint64
 }
 
-// Change is the step from one generation to the next.
+// Change is the difference between one generation and the next.
 type Change struct {
 	Generation uint64        `msgpack:"g"`
 	Delta      *bundle.Delta `msgpack:"d,omitempty"`
 	Retire     string        `msgpack:"r,omitempty"`
 }
 
-// Update brings a holder of an older configuration up to date: either Changes
-// in order, or a Full configuration.
+// Update brings an older configuration up to date, with either an ordered list of
+// Changes or a full configuration.
 type Update struct {
 	Generation uint64            `msgpack:"g"`
 	Changes    []Change          `msgpack:"c,omitempty"`
@@ -37,22 +38,22 @@
 	Retired    map[string]uint64 `msgpack:"r,omitempty"`
 }
 
-// History is a configuration with the changes that led to it, from which
-// holders of older ones are brought up to date. The replicas have one, and every
-// instance that passes its lease on. Not safe for concurrent use.
+// History is a configuration with its most recent changes, from which incremental
+// updates are served. Replicas have one, and so does every instance that relays its
+// configuration lease. Not safe for concurrent use.
 type History struct {
 	current Config
-	// changes lead up to current, one per generation.
+	// changes holds the latest changes up to current, one per generation.
 	changes []Change
 }
 
-// NewHistory returns the empty configuration.
+// NewHistory returns a history with an empty configuration.
 func NewHistory() History { return History{current: Config{Retired: map[string]uint64{}}} }
 
-// Current returns the configuration in force.
+// Current returns the active configuration.
 func (h *History) Current() Config { return h.current }
 
-// Since returns what a holder of the given generation lacks.
+// Since returns the update from the given generation to the active one.
 func (h *History) Since(generation uint64) Update {
 	u := Update{Generation: h.current.Generation}
 	if generation == h.current.Generation {
@@ -71,9 +72,9 @@
 	return u
 }
 
-// Take applies an update. An error leaves the history as it was and asks for a
-// full update: call Since with a generation that is too high.
-func (h *History) Take(u *Update) error {
+// Apply applies an update. On error the history is unchanged and the caller needs a
+// full update, which Since returns for a generation above the current one.
+func (h *History) Apply(u *Update) error {
 	next, err := u.Apply(h.current)
 	if err != nil {
 		return err
@@ -83,33 +84,33 @@
 		h.changes = nil
 		return nil
 	}
-	h.keep(u.Changes...)
+	h.appendChanges(u.Changes...)
 	return nil
 }
 
-func (h *History) keep(changes ...Change) {
+func (h *History) appendChanges(changes ...Change) {
 	h.changes = append(h.changes, changes...)
-	if len(h.changes) > keptChanges {
-		h.changes = slices.Clone(h.changes[len(h.changes)-keptChanges:])
+	if len(h.changes) > maxHistoryChanges {
+		h.changes = slices.Clone(h.changes[len(h.changes)-maxHistoryChanges:])
 	}
 }
 
-// advance moves to the next generation.
+// advance applies a change as the next generation.
 func (h *History) advance(ch Change) {
 	ch.Generation = h.current.Generation + 1
 	next, err := ch.apply(h.current)
 	if err != nil {
-		panic(err) // the change was made from the current configuration
+		panic(err) // unreachable: the change was computed from the current configuration
 	}
 	h.current = next
-	h.keep(ch)
+	h.appendChanges(ch)
 }
 
-// Apply returns the configuration after the update. An error asks for a full
-// update, as Since gives for a generation that is too high.
+// Apply returns the updated configuration. On error the caller needs a full update,
+// which Since returns for a generation above the current one.
 func (u *Update) Apply(c Config) (Config, error) {
 	if u.Full {
-		return u.full()
+		return u.fullConfig()
 	}
 	for _, ch := range u.Changes {
 		next, err := ch.apply(c)
@@ -124,7 +125,7 @@
 	return c, nil
 }
 
-func (u *Update) full() (Config, error) {
+func (u *Update) fullConfig() (Config, error) {
 	c := Config{Generation: u.Generation, Retired: u.Retired}
 	if c.Retired == nil {
 		c.Retired = map[string]uint64{}
--- a/core/state/machine.go
+++ b/core/state/machine.go
@@ -11,7 +11,7 @@
 
 // Machine is the state of one replica. Not safe for concurrent use.
 type Machine struct {
-	// NowMillis is the highest clock value applied.
+	// nowMillis is the highest NowMillis of all applied commands.
 	nowMillis  int64
 	config     configState
 	audit      auditState
@@ -22,13 +22,13 @@
 	duties     dutyState
 }
 
-// New returns the empty machine that every group starts from.
+// New returns an empty state machine.
 func New() *Machine {
 	return &Machine{config: newConfigState(), calls: newCallState()}
 }
 
-// Apply executes the committed command with the log index. Equal machines
-// stay equal when they apply equal commands.
+// Apply executes a committed command. It is deterministic: equal machines that apply
+// equal commands remain equal.
 func (m *Machine) Apply(data []byte) Result {
 	c, err := DecodeCommand(data)
 	if err != nil {
@@ -36,14 +36,14 @@
 	}
 	m.nowMillis = max(m.nowMillis, c.NowMillis)
 	switch {
-	case c.Type == CommandGenesis:
-		return m.config.genesis(c.Operators)
+	case c.Type == CommandBootstrap:
+		return m.config.bootstrap(c.Operators)
 	case c.Type == CommandOrder && c.Order != nil:
 		return m.applyOrder(c.Order)
 	case c.Type == CommandOrderLease && c.Lease != nil:
 		return m.placement.lease(c.Lease)
 	case c.Type == CommandEngineOrder && c.Engine != nil:
-		return m.placement.order(c.Engine, m.loadsPerMinute(), m.nowMillis)
+		return m.placement.recordOrder(c.Engine, m.loadsPerMinute(), m.nowMillis)
 	case c.Type == CommandDeclare && c.Declare != nil:
 		return m.routing.declare(c.Declare)
 	case c.Type == CommandWithdraw && c.Withdraw != nil:
@@ -54,14 +54,14 @@
 		return m.routing.register([]fleet.Server{*c.Register})
 	case c.Type == CommandRegister:
 		return m.routing.register(c.Servers)
-	case c.Type == CommandRule && c.Rule != nil:
-		return m.quarantine.rule(*c.Rule, m.nowMillis)
+	case c.Type == CommandRuling && c.Ruling != nil:
+		return m.quarantine.storeRuling(*c.Ruling, m.nowMillis)
 	case c.Type == CommandDuty && c.Duty != nil:
 		return m.duties.claim(c.Duty)
-	case c.Type == CommandAct && c.Act != nil:
-		return m.duties.act(c.Act, m.nowMillis)
+	case c.Type == CommandEffect && c.Effect != nil:
+		return m.duties.recordEffect(c.Effect, m.nowMillis)
 	case c.Type == CommandUsage:
-		return m.duties.report(c.Reports)
+		return m.duties.countReports(c.Reports)
 	case c.Call != nil:
 		m.calls.prune(m.nowMillis)
 		return m.calls.apply(c.Type, c.Call, m.nowMillis)
@@ -88,17 +88,17 @@
 	Duties     dutyState       `msgpack:"d"`
 }
 
-// Snapshot returns the machine's bytes.
+// Snapshot serializes the machine.
 func (m *Machine) Snapshot() []byte {
 	s := snapshot{NowMillis: m.nowMillis, Config: m.config.snapshot(), Audit: m.audit, Calls: m.calls.list(), Placement: m.placement, Routing: m.routing, Quarantine: m.quarantine, Duties: m.duties}
 	data, err := msgpack.Marshal(&s)
 	if err != nil {
-		panic(err) // plain data; encoding to memory can't fail
+		panic(err) // unreachable: the struct has only encodable fields
 	}
 	return data
 }
 
-// Restore replaces the machine's state by a snapshot.
+// Restore replaces the machine's state with a snapshot.
 func (m *Machine) Restore(data []byte) error {
 	var s snapshot
 	if err := wire.Decode(data, &s); err != nil {
--- a/core/state/one_bench_test.go
+++ b/core/state/one_bench_test.go
@@ -7,10 +7,10 @@
 	"cardamomwick.example/core/fleet"
 )
 
-// BenchmarkOneServerComesAndLeaves is what a replica pays for two entries of the log with a
-// single server each, as they come all the time, while it remembers as many as it may.
-func BenchmarkOneServerComesAndLeaves(b *testing.B) {
-	m, _ := fullRegister(b)
+// BenchmarkRegisterAndWithdrawOneServer measures the frequent case of log entries with a
+// single server, on a machine with the maximum number of servers.
+func BenchmarkRegisterAndWithdrawOneServer(b *testing.B) {
+	m, _ := machineWithMaxServers(b)
 	for n := range b.N {
 		id := fmt.Sprint("one-", n)
 		m.Apply((&Command{Type: CommandRegister, Servers: []fleet.Server{{ID: id}}}).Encode())
--- a/core/state/placement.go
+++ b/core/state/placement.go
@@ -7,14 +7,15 @@
 	"cardamomwick.example/core/duty"
 )
 
-// LeaseCommand renews or takes over the order lease; an empty Owner only reads.
+// LeaseCommand renews or acquires the order lease. An empty Owner only reads it.
 type LeaseCommand struct {
 	Owner string `msgpack:"o"`
-	// Expected is what the sender has seen last.
+	// Expected is the lease as last seen by the sender.
 	Expected duty.Lease `msgpack:"e"`
 }
 
-// EngineOrder tells an engine what to load. It is recorded before it is sent.
+// EngineOrder instructs an engine to load a model version. It is recorded before it is
+// sent.
 type EngineOrder struct {
 	Fence    uint64   `msgpack:"f" json:"fence"`
 	Server   string   `msgpack:"s" json:"server"`
@@ -23,17 +24,18 @@
 	Adapters []string `msgpack:"a,omitempty" json:"adapters,omitempty"`
 }
 
-// keptOrders bounds the recorded engine orders.
-const keptOrders = 4096
+// maxEngineOrders limits the recorded engine orders.
+const maxEngineOrders = 4096
 
 type placementState struct {
-	// Lease says who may order engines about; its term is the number that orders carry.
+	// Lease determines who may send engine orders; its term is their fencing token.
 	Lease duty.Lease `msgpack:"l"`
-	// Orders holds the latest order per server.
+	// Orders holds the latest order by server.
 	Orders map[string]EngineOrder `msgpack:"o"`
-	// Loads is a token bucket over the weight store, as of LoadsAt.
-	Loads   float64 `msgpack:"t"`
-	LoadsAt int64   `msgpack:"a"`
+	// LoadTokens is the level at RefilledAt of a token bucket that limits loads from the
+	// weight store.
+	LoadTokens float64 `msgpack:"t"`
+	RefilledAt int64   `msgpack:"a"`
 }
 
 func (s *placementState) lease(c *LeaseCommand) Result {
@@ -45,9 +47,9 @@
 	return Result{Code: code, Lease: &out}
 }
 
-// order records an engine order of the current leaseholder, within the weight
-// store's rate.
-func (s *placementState) order(o *EngineOrder, perMinute float64, now int64) Result {
+// recordOrder records an engine order if the sender holds the lease and the weight
+// store's load rate permits it.
+func (s *placementState) recordOrder(o *EngineOrder, perMinute float64, now int64) Result {
 	cur := s.Lease
 	if o.Fence != cur.Term || o.Fence == 0 {
 		return Result{Code: CodeStale, Lease: &cur, Message: fmt.Sprintf("fence %d is not the current %d", o.Fence, cur.Term)}
@@ -55,28 +57,28 @@
 	if !s.takeLoad(perMinute, now) {
 		return Result{Code: CodeRefused, Message: "the weight store's rate is used up"}
 	}
-	if s.Orders == nil || len(s.Orders) >= keptOrders {
+	if s.Orders == nil || len(s.Orders) >= maxEngineOrders {
 		s.Orders = map[string]EngineOrder{}
 	}
 	s.Orders[o.Server] = *o
 	return Result{Code: CodeOK, Lease: &cur}
 }
 
-// takeLoad takes one load from the bucket, which holds ten seconds of it but
-// at least one; no rate means no limit.
+// takeLoad takes one token from the bucket, which has a capacity of ten seconds' worth
+// of loads, at least one. A rate of zero means no limit.
 func (s *placementState) takeLoad(perMinute float64, now int64) bool {
 	if perMinute <= 0 {
 		return true
 	}
-	most := max(1, perMinute/6)
-	if s.LoadsAt == 0 {
-		s.Loads = most
+	burst := max(1, perMinute/6)
+	if s.RefilledAt == 0 {
+		s.LoadTokens = burst
 	}
-	s.Loads = min(most, s.Loads+float64(now-s.LoadsAt)*perMinute/float64(time.Minute.Milliseconds()))
-	s.LoadsAt = now
-	if s.Loads < 1 {
+	s.LoadTokens = min(burst, s.LoadTokens+float64(now-s.RefilledAt)*perMinute/float64(time.Minute.Milliseconds()))
+	s.RefilledAt = now
+	if s.LoadTokens < 1 {
 		return false
 	}
-	s.Loads--
+	s.LoadTokens--
 	return true
 }
--- a/core/state/placement_test.go
+++ b/core/state/placement_test.go
@@ -12,6 +12,8 @@
 	return m.Apply((&Command{Type: CommandOrderLease, Lease: &LeaseCommand{Owner: owner, Expected: expected}}).Encode())
 }
 
+// The lease can be acquired only by an instance that has seen its latest renewal, and
+// orders under an old term are rejected.
 func TestOrderLeaseMovesOnlyWhenStill(t *testing.T) {
 	m := New()
 	a := *lease(m, "a", duty.Lease{}).Lease
@@ -20,21 +22,21 @@
 	}
 	renewed := *lease(m, "a", a).Lease
 	if r := lease(m, "b", a); r.Code != CodeStale || r.Lease.Holder != "a" {
-		t.Fatalf("take-over of a lease that was renewed: %+v", r)
+		t.Fatalf("acquiring a lease that was renewed: %+v", r)
 	}
 	if r := lease(m, "", duty.Lease{}); r.Code != CodeOK || *r.Lease != renewed {
 		t.Fatalf("read: %+v", r)
 	}
 	b := lease(m, "b", renewed)
 	if b.Code != CodeOK || b.Lease.Term != 2 {
-		t.Fatalf("take-over of a still lease: %+v", b)
+		t.Fatalf("acquiring a lease that was not renewed: %+v", b)
 	}
 	if r := lease(m, "a", renewed); r.Code != CodeStale {
-		t.Fatalf("the former owner renewed: %+v", r)
+		t.Fatalf("renewal by the former owner: %+v", r)
 	}
 	old := m.Apply((&Command{Type: CommandEngineOrder, Engine: &EngineOrder{Fence: 1, Server: "e"}}).Encode())
 	if old.Code != CodeStale {
-		t.Fatalf("an order under the old fence: %+v", old)
+		t.Fatalf("order with an old fencing token: %+v", old)
 	}
 }
 
--- a/core/state/quarantine.go
+++ b/core/state/quarantine.go
@@ -7,56 +7,57 @@
 	"cardamomwick.example/core/quarantine"
 )
 
-// keptHolds bounds the rulings remembered; the oldest go first. It is as many as an
-// instance holds.
-const keptHolds = 512
+// maxRulings limits the stored rulings; the oldest are dropped first. It equals the
+// limit of an instance.
+const maxRulings = 512
 
-// Hold is a ruling that must outlive a restart of all instances: without it, a request
-// that is held would end three more servers after each.
-type Hold struct {
+// StoredRuling is a quarantine ruling that must survive a restart of all instances.
+// Without it, a quarantined request would crash three more servers after each restart.
+type StoredRuling struct {
 	Ruling quarantine.Ruling `msgpack:"r"`
-	// DecidedMillis is when it was decided, by the group's clock. Clocks that are
-	// seconds apart make no difference to a hold of minutes.
+	// DecidedMillis is the time of the decision by the group's clock. A clock skew of
+	// seconds is negligible for a quarantine of minutes.
 	DecidedMillis int64 `msgpack:"m"`
 }
 
-// Told returns the ruling with its age at a time, in Unix milliseconds.
-func (h *Hold) Told(nowMillis int64) quarantine.Ruling {
+// RulingAt returns the ruling with its age at the given time in Unix milliseconds.
+func (h *StoredRuling) RulingAt(nowMillis int64) quarantine.Ruling {
 	x := h.Ruling
 	x.Age = time.Duration(max(0, nowMillis-h.DecidedMillis)) * time.Millisecond
 	return x
 }
 
-// quarantineState is the part of the machine that keeps holds.
+// quarantineState holds the quarantine rulings.
 type quarantineState struct {
-	Holds []Hold `msgpack:"h"`
-	// Revision rises with every change of the above.
+	Rulings []StoredRuling `msgpack:"h"`
+	// Revision increases with every change of Rulings.
 	Revision uint64 `msgpack:"r"`
 }
 
-// rule keeps the highest version of a ruling, a hold before others of that version.
-func (s *quarantineState) rule(x quarantine.Ruling, nowMillis int64) Result {
-	decided := Hold{Ruling: x, DecidedMillis: nowMillis - x.Age.Milliseconds()}
+// storeRuling stores a ruling if its version is higher than the stored one's. Of equal
+// versions, a ruling that holds the request takes precedence.
+func (s *quarantineState) storeRuling(x quarantine.Ruling, nowMillis int64) Result {
+	decided := StoredRuling{Ruling: x, DecidedMillis: nowMillis - x.Age.Milliseconds()}
 	decided.Ruling.Age = 0
-	at := slices.IndexFunc(s.Holds, func(h Hold) bool { return h.Ruling.Digest == x.Digest })
+	at := slices.IndexFunc(s.Rulings, func(h StoredRuling) bool { return h.Ruling.Digest == x.Digest })
 	if at >= 0 {
-		old := &s.Holds[at].Ruling
+		old := &s.Rulings[at].Ruling
 		if x.Version < old.Version || x.Version == old.Version && x.Standing <= old.Standing {
 			return Result{Code: CodeOK}
 		}
 	}
-	s.Holds = slices.DeleteFunc(slices.Clone(s.Holds), func(h Hold) bool { return h.Ruling.Digest == x.Digest || h.over(nowMillis) })
-	s.Holds = append(s.Holds, decided)
-	s.Holds = s.Holds[max(0, len(s.Holds)-keptHolds):]
+	s.Rulings = slices.DeleteFunc(slices.Clone(s.Rulings), func(h StoredRuling) bool { return h.Ruling.Digest == x.Digest || h.expired(nowMillis) })
+	s.Rulings = append(s.Rulings, decided)
+	s.Rulings = s.Rulings[max(0, len(s.Rulings)-maxRulings):]
 	s.Revision++
 	return Result{Code: CodeOK}
 }
 
-// over reports whether nothing follows from the ruling any more.
-func (h *Hold) over(nowMillis int64) bool { x := h.Told(nowMillis); return x.Over() }
+// expired reports whether the ruling no longer has any effect.
+func (h *StoredRuling) expired(nowMillis int64) bool { x := h.RulingAt(nowMillis); return x.Over() }
 
-// Holds returns the rulings that are kept. Read only.
-func (m *Machine) Holds() []Hold { return m.quarantine.Holds }
+// Rulings returns the stored rulings. The slice is read-only.
+func (m *Machine) Rulings() []StoredRuling { return m.quarantine.Rulings }
 
-// HoldsRevision returns the revision of what Holds would return.
-func (m *Machine) HoldsRevision() uint64 { return m.quarantine.Revision }
+// RulingsRevision returns the current revision of the stored rulings.
+func (m *Machine) RulingsRevision() uint64 { return m.quarantine.Revision }
--- a/core/state/quarantine_test.go
+++ b/core/state/quarantine_test.go
@@ -10,45 +10,44 @@
 
 func rule(m *Machine, nowMillis int64, name string, s quarantine.Standing, version uint64) {
 	r := quarantine.Request{URI: name}
-	m.Apply((&Command{Type: CommandRule, NowMillis: nowMillis, Rule: &quarantine.Ruling{Digest: r.Digest(), Standing: s, Version: version}}).Encode())
+	m.Apply((&Command{Type: CommandRuling, NowMillis: nowMillis, Ruling: &quarantine.Ruling{Digest: r.Digest(), Standing: s, Version: version}}).Encode())
 }
 
-func TestNewestRulingIsKept(t *testing.T) {
+func TestHighestRulingVersionWins(t *testing.T) {
 	m := New()
 	rule(m, 1000, "q", quarantine.Held, 2)
 	rule(m, 2000, "q", quarantine.Held, 2)
 	rule(m, 3000, "q", quarantine.Suspected, 1)
-	if list := m.Holds(); len(list) != 1 || list[0].DecidedMillis != 1000 || m.HoldsRevision() != 1 {
-		t.Errorf("got %+v, revision %d", list, m.HoldsRevision())
+	if list := m.Rulings(); len(list) != 1 || list[0].DecidedMillis != 1000 || m.RulingsRevision() != 1 {
+		t.Errorf("got %+v, revision %d", list, m.RulingsRevision())
 	}
 	rule(m, 4000, "q", quarantine.Cleared, 3)
 	rule(m, 5000, "q", quarantine.Held, 2)
-	if list := m.Holds(); len(list) != 1 || list[0].Ruling.Standing != quarantine.Cleared {
+	if list := m.Rulings(); len(list) != 1 || list[0].Ruling.Standing != quarantine.Cleared {
 		t.Errorf("got %+v", list)
 	}
 }
 
-// Rulings outlive a snapshot, with their age, and are dropped when nothing follows from
-// them any more.
-func TestRulingsAreSavedAndEnd(t *testing.T) {
+// Rulings survive a snapshot with their age and are dropped when expired.
+func TestRulingsSurviveSnapshotAndExpire(t *testing.T) {
 	m := New()
 	rule(m, 1000, "q", quarantine.Held, 1)
 	restored := New()
 	if err := restored.Restore(m.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	got := restored.Holds()[0].Told(1000 + quarantine.FirstHold.Milliseconds()/2)
+	got := restored.Rulings()[0].RulingAt(1000 + quarantine.FirstHold.Milliseconds()/2)
 	if got.Age != quarantine.FirstHold/2 || got.Standing != quarantine.Held {
 		t.Errorf("got %+v", got)
 	}
 	rule(restored, time.Hour.Milliseconds(), "other", quarantine.Held, 1)
-	if n := len(restored.Holds()); n != 1 {
-		t.Errorf("%d rulings are kept", n)
+	if n := len(restored.Rulings()); n != 1 {
+		t.Errorf("%d rulings are stored", n)
 	}
-	for i := range 2 * keptHolds {
+	for i := range 2 * maxRulings {
 		rule(restored, time.Hour.Milliseconds(), fmt.Sprint(i), quarantine.Held, 1)
 	}
-	if n := len(restored.Holds()); n != keptHolds {
-		t.Errorf("%d rulings are kept", n)
+	if n := len(restored.Rulings()); n != maxRulings {
+		t.Errorf("%d rulings are stored", n)
 	}
 }
--- a/core/state/register_bench_test.go
+++ b/core/state/register_bench_test.go
@@ -7,8 +7,9 @@
 	"cardamomwick.example/core/fleet"
 )
 
-// fullRegister is a machine that remembers as many servers as it may.
-func fullRegister(b testing.TB) (m *Machine, next func() []byte) {
+// machineWithMaxServers returns a machine with maxServers servers, and a function that
+// encodes a command registering 512 further ones.
+func machineWithMaxServers(b testing.TB) (m *Machine, next func() []byte) {
 	m = New()
 	n := 0
 	next = func() []byte {
@@ -20,20 +21,20 @@
 		}
 		return c.Encode()
 	}
-	for range keptServers/512 + 1 {
+	for range maxServers/512 + 1 {
 		m.Apply(next())
 	}
-	if got := len(m.Routing().Servers); got != keptServers {
-		b.Fatalf("%d servers are remembered", got)
+	if got := len(m.Routing().Servers); got != maxServers {
+		b.Fatalf("%d servers are registered, want %d", got, maxServers)
 	}
 	return m, next
 }
 
-// BenchmarkRegisterServers is what a replica pays for an entry of the log with 512 servers
-// while it remembers as many as it may. With a copy of all for each, replicas lost their
-// leader while they applied it.
+// BenchmarkRegisterServers measures a log entry with 512 servers on a machine with the
+// maximum number of servers. Copying the whole list for each server took so long that
+// replicas lost their leader while applying one entry.
 func BenchmarkRegisterServers(b *testing.B) {
-	m, next := fullRegister(b)
+	m, next := machineWithMaxServers(b)
 	for range b.N {
 		b.StopTimer()
 		data := next()
--- a/core/state/routing.go
+++ b/core/state/routing.go
@@ -6,82 +6,82 @@
 	"cardamomwick.example/core/fleet"
 )
 
-// DeclareCommand puts a routing declaration in force if its version is above
-// the one held. It has been checked before it is proposed.
+// DeclareCommand activates a routing declaration if its version is higher than the
+// active one. The proposer has already validated it.
 type DeclareCommand struct {
 	Version uint64 `msgpack:"v"`
-	// Declaration is an encoded routing.Declaration. It and Source are opaque here:
-	// the proposer has compressed both.
+	// Declaration is an encoded routing.Declaration. It and Source are compressed by the
+	// proposer and opaque to the state machine.
 	Declaration []byte `msgpack:"d"`
-	// Source is what the operator sent, for reading back.
+	// Source is the operator's original text, for reading it back.
 	Source []byte `msgpack:"s"`
 }
 
-// routingState is the part of the machine that the routed calls follow.
+// routingState holds the routing declaration and the registry of backend servers.
 type routingState struct {
-	Held        DeclareCommand     `msgpack:"h"`
+	Declared    DeclareCommand     `msgpack:"h"`
 	Withdrawals []fleet.Withdrawal `msgpack:"w"`
-	// Servers are the backend servers that have announced themselves and not
-	// departed, so that a new leader, and a group that was down, know them at once.
+	// Servers are the backend servers that have announced themselves and not departed.
+	// A new leader, or a group that restarts, knows them at once.
 	Servers []fleet.Server `msgpack:"f,omitempty"`
-	// Starts are the newest starts of servers that keep their name, also of those
-	// that have departed: a new leader must not take back an older one.
+	// Starts holds the newest start of each server with a persistent name, including
+	// departed servers, so that a new leader does not accept an older start.
 	Starts fleet.Starts `msgpack:"s"`
-	// Revision rises with every change of the above.
+	// Revision increases with every change of the other fields.
 	Revision uint64 `msgpack:"r"`
 }
 
-// declare keeps the highest version; the first content under a version stays.
-// An older or equal version is accepted and changes nothing, so that an order
-// can be sent again.
+// declare stores the declaration if its version is higher than the stored one. An older
+// or equal version is accepted without effect, so that retries are safe; the first content
+// published under a version is final.
 func (s *routingState) declare(c *DeclareCommand) Result {
-	if c.Version > s.Held.Version {
-		s.Held = *c
+	if c.Version > s.Declared.Version {
+		s.Declared = *c
 		s.Revision++
 	}
-	return Result{Code: CodeOK, Order: OrderResult{Version: s.Held.Version}}
+	return Result{Code: CodeOK, Order: OrderResult{Version: s.Declared.Version}}
 }
 
-// keptServers bounds the servers remembered; the oldest go first. It is twice the servers
-// of the largest deployment aimed at: after the loss of all of them, the next ones announce
-// themselves before the former are forgotten.
-const keptServers = 8192
+// maxServers limits the stored servers; the oldest are dropped first. It is twice the
+// size of the largest supported deployment: when all servers are lost, their replacements
+// announce themselves before the old ones expire.
+const maxServers = 8192
 
-// register remembers servers, and forgets their older starts. One that has said that it
-// leaves stays so. What is there is looked up once for all of them: an entry of the log
-// with hundreds of servers must not hold a replica up for longer than its peers wait.
+// register stores servers and removes their older starts. A withdrawn server is not
+// registered again. All servers are looked up in one pass: applying a log entry with
+// hundreds of servers must not block a replica for longer than its peers wait for it.
 func (s *routingState) register(list []fleet.Server) Result {
-	known := s.known(list)
+	known := s.lookUp(list)
 	for _, server := range list {
 		s.registerOne(server, known)
 	}
-	s.Servers = slices.Delete(s.Servers, 0, max(0, len(s.Servers)-keptServers))
+	s.Servers = slices.Delete(s.Servers, 0, max(0, len(s.Servers)-maxServers))
 	return Result{Code: CodeOK}
 }
 
-// known tells by ID which of the servers, and of their former starts, are remembered or
-// withdrawn.
-func (s *routingState) known(list []fleet.Server) map[string]bool {
+// lookUp returns, for the IDs of the servers and of their previous starts, whether each
+// is registered or withdrawn.
+func (s *routingState) lookUp(list []fleet.Server) map[string]bool {
 	known := make(map[string]bool, 2*len(list))
 	for i := range list {
 		known[list[i].ID] = false
 		known[s.Starts.Newest(list[i].OwnName())] = false
 	}
-	note := func(id string) {
-		if _, asked := known[id]; asked {
+	mark := func(id string) {
+		if _, requested := known[id]; requested {
 			known[id] = true
 		}
 	}
 	for i := range s.Servers {
-		note(s.Servers[i].ID)
+		mark(s.Servers[i].ID)
 	}
 	for i := range s.Withdrawals {
-		note(s.Withdrawals[i].ServerID)
+		mark(s.Withdrawals[i].ServerID)
 	}
 	return known
 }
 
-// registerOne remembers a server that is neither known nor withdrawn.
+// registerOne stores a server unless it is stale, already registered or withdrawn.
 func (s *routingState) registerOne(server fleet.Server, known map[string]bool) {
 	start := server.Start()
 	if s.Starts.Stale(start) {
@@ -102,32 +102,32 @@
 	s.Revision++
 }
 
-// settle applies withdrawals to the servers remembered.
-func (s *routingState) settle(phases map[string]fleet.Phase) {
+// applyPhases updates the phases of withdrawn servers and removes departed ones.
+func (s *routingState) applyPhases(phases map[string]fleet.Phase) {
 	s.Servers = slices.DeleteFunc(s.Servers, func(x fleet.Server) bool { return phases[x.ID] == fleet.Departed })
 	for i := range s.Servers {
-		if phase, withdrawn := phases[s.Servers[i].ID]; withdrawn {
+		if phase, isWithdrawn := phases[s.Servers[i].ID]; isWithdrawn {
 			s.Servers[i].Phase = phase
 		}
 	}
 }
 
-// withdraw notes withdrawals, the latest fleet.LoggedWithdrawals of them. A later phase
-// replaces an earlier one.
+// withdraw stores withdrawals and keeps the latest fleet.LoggedWithdrawals of them. A
+// later phase replaces an earlier one.
 func (s *routingState) withdraw(list []fleet.Withdrawal) Result {
 	phases := make(map[string]fleet.Phase, len(list))
 	for _, w := range list {
 		phases[w.ServerID] = max(phases[w.ServerID], w.Phase)
 	}
-	s.settle(phases)
-	noted := make(map[string]int, len(list))
+	s.applyPhases(phases)
+	positions := make(map[string]int, len(list))
 	for i, w := range s.Withdrawals {
-		if _, asked := phases[w.ServerID]; asked {
-			noted[w.ServerID] = i
+		if _, requested := phases[w.ServerID]; requested {
+			positions[w.ServerID] = i
 		}
 	}
 	for _, w := range list {
-		i, known := noted[w.ServerID]
+		i, known := positions[w.ServerID]
 		if known && w.Phase <= s.Withdrawals[i].Phase {
 			continue
 		}
@@ -136,7 +136,7 @@
 			s.Withdrawals[i].Phase = w.Phase
 			continue
 		}
-		noted[w.ServerID] = len(s.Withdrawals)
+		positions[w.ServerID] = len(s.Withdrawals)
 		s.Withdrawals = append(s.Withdrawals, w)
 	}
 	s.Withdrawals = slices.Delete(s.Withdrawals, 0, max(0, len(s.Withdrawals)-fleet.LoggedWithdrawals))
@@ -145,19 +145,19 @@
 
 // Routing is a copy of the routing state. Slices are shared and read-only.
 type Routing struct {
-	Held        DeclareCommand
+	Declared    DeclareCommand
 	Withdrawals []fleet.Withdrawal
 	Servers     []fleet.Server
 	Starts      []fleet.Start
 	Revision    uint64
 }
 
-// Routing returns what is committed about routing.
+// Routing returns a copy of the committed routing state.
 func (m *Machine) Routing() Routing {
 	s := &m.routing
-	return Routing{Held: s.Held, Withdrawals: slices.Clone(s.Withdrawals),
+	return Routing{Declared: s.Declared, Withdrawals: slices.Clone(s.Withdrawals),
 		Servers: slices.Clone(s.Servers), Starts: s.Starts.List(), Revision: s.Revision}
 }
 
-// RoutingRevision returns the revision of what Routing would return.
+// RoutingRevision returns the current revision of the routing state.
 func (m *Machine) RoutingRevision() uint64 { return m.routing.Revision }
--- a/core/state/routing_test.go
+++ b/core/state/routing_test.go
@@ -13,7 +13,7 @@
 	return m.Apply(c.Encode())
 }
 
-func TestHighestDeclarationIsInForceAndStays(t *testing.T) {
+func TestHighestDeclarationVersionWins(t *testing.T) {
 	m := New()
 	for _, step := range []struct {
 		version uint64
@@ -23,13 +23,13 @@
 		if r := declare(m, step.version, step.content); r.Code != CodeOK {
 			t.Fatalf("version %d was refused: %v", step.version, r)
 		}
-		if got := string(m.Routing().Held.Source); got != step.want {
-			t.Errorf("after version %d: %q is in force, want %q", step.version, got, step.want)
+		if got := string(m.Routing().Declared.Source); got != step.want {
+			t.Errorf("after version %d: %q is active, want %q", step.version, got, step.want)
 		}
 	}
 }
 
-func TestRoutingSurvivesASnapshot(t *testing.T) {
+func TestRoutingSurvivesSnapshot(t *testing.T) {
 	m := New()
 	declare(m, 4, "four")
 	apply := func(c Command) { m.Apply(c.Encode()) }
@@ -42,12 +42,12 @@
 		t.Fatal(err)
 	}
 	got := other.Routing()
-	if got.Held.Version != 4 || len(got.Servers) != 1 || got.Servers[0].ID != "b" || len(got.Withdrawals) != 1 || got.Revision != m.RoutingRevision() {
+	if got.Declared.Version != 4 || len(got.Servers) != 1 || got.Servers[0].ID != "b" || len(got.Withdrawals) != 1 || got.Revision != m.RoutingRevision() {
 		t.Errorf("after the snapshot: %+v", got)
 	}
 }
 
-func TestPhaseOfAServerNeverGoesBack(t *testing.T) {
+func TestServerPhaseNeverGoesBack(t *testing.T) {
 	m := New()
 	for _, p := range []fleet.Phase{fleet.Departed, fleet.Draining} {
 		m.Apply((&Command{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "a", Phase: p}}).Encode())
@@ -57,9 +57,9 @@
 	}
 }
 
-// The newest start of a server outlives its departure, a snapshot and the words of
-// former starts.
-func TestNewestStartIsRemembered(t *testing.T) {
+// The newest start of a server is kept after its departure, across a snapshot, and when
+// announcements of older starts arrive late.
+func TestNewestStartIsKept(t *testing.T) {
 	m := New()
 	register := func(born int64) {
 		s := fleet.Server{ID: fleet.StartID(fleet.Start{Name: "a", Born: born}), Name: "a", Born: born, Pool: "p"}
@@ -98,8 +98,7 @@
 	}
 }
 
-// Thousands of servers that were lost together are withdrawn together; the outcome is that of
-// one after the other.
+// Withdrawing servers in one batch gives the same state as withdrawing them one by one.
 func TestServersAreWithdrawnTogether(t *testing.T) {
 	var register, together Command
 	register.Type, together.Type = CommandRegister, CommandWithdraw
--- a/core/state/state_test.go
+++ b/core/state/state_test.go
@@ -26,7 +26,7 @@
 	d := bundle.Duration(time.Second)
 	return &bundle.Bundle{Version: version, Description: note,
 		Classes: map[string]bundle.Class{"chat": {Tier: 1, Idempotent: true, FirstTokenTarget: d, Deadline: d,
-			Order: bundle.OrderFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}},
+			Order: bundle.QueueFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}},
 		Pools:     map[string]bundle.Pool{"m": {Kind: bundle.PoolModel, DefaultClass: "chat", AnnounceTokens: []string{zeros}}},
 		Customers: map[string]bundle.Customer{"c": {Keys: []string{zeros}, Weight: 1}},
 		Operators: map[string]bundle.Operator{"ana": {PublicKey: testPub}}}
@@ -50,7 +50,7 @@
 
 func fresh() *Machine {
 	m := New()
-	m.Apply((&Command{Type: CommandGenesis, Operators: map[string]string{"ana": testPub}}).Encode())
+	m.Apply((&Command{Type: CommandBootstrap, Operators: map[string]string{"ana": testPub}}).Encode())
 	return m
 }
 
@@ -66,7 +66,7 @@
 	}
 	applyOrder(m, publishOrder(testBundle(2, ""), 1))
 	if r := applyOrder(m, a); r.Code != CodeOK || r.Order.Generation != 1 {
-		t.Fatalf("repeat: %+v; want the first answer", r)
+		t.Fatalf("retried publish: %+v; want the original result", r)
 	}
 	if r := applyOrder(m, publishOrder(testBundle(3, ""), 1)); r.Code != CodeStale {
 		t.Fatalf("order for an old generation: %+v", r)
@@ -88,21 +88,21 @@
 	}
 	applyOrder(m, order(bundle.OrderRollForward, 2, "", 3))
 	if r := applyOrder(m, w); r.Order.Generation != 3 || m.Config().Generation != 4 || m.Config().Bundle.Version != 2 {
-		t.Fatalf("a withdraw sent again changed something: %+v, now %d", r, m.Config().Generation)
+		t.Fatalf("a retried withdraw order changed the state: %+v, generation %d", r, m.Config().Generation)
 	}
 }
 
-// TestUpdatesLeadToTheSameConfig: whoever follows updates, from any generation
-// and with any gaps, ends with the machine's configuration.
-func TestUpdatesLeadToTheSameConfig(t *testing.T) {
+// A follower that applies updates, from any generation and with any gaps, has the
+// machine's configuration.
+func TestUpdatesConvergeToMachineConfig(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(3)
-	params.MinSuccessfulTests = 12 // each run makes some 300 signed changes
+	params.MinSuccessfulTests = 12 // each run applies about 300 signed orders
 	props := gopter.NewProperties(params)
 	props.Property("updates agree", prop.ForAll(func(seed int64) (string, error) {
 		rnd := rand.New(rand.NewSource(seed))
 		m := fresh()
 		held := Config{Retired: map[string]uint64{}}
-		for n := range keptChanges + 40 {
+		for n := range maxHistoryChanges + 40 {
 			g := m.Config().Generation
 			if rnd.Intn(3) == 0 {
 				applyOrder(m, publishOrder(testBundle(uint64(n+1), fmt.Sprint(n)), g))
@@ -138,9 +138,9 @@
 	return m.Apply((&Command{Type: t, NowMillis: now, Call: c}).Encode())
 }
 
-// TestOneOwnerPerKey: whatever order commands come in and however often, at
-// most one call ID holds a key's claim until it is released, and an answer
-// never changes. A machine restored from a snapshot on the way answers alike.
+// In any order and with any repetition of commands, at most one call ID holds the claim
+// of a key until it is released, and a recorded answer never changes. A machine that is
+// restored from snapshots in between returns the same results.
 func TestOneOwnerPerKey(t *testing.T) {
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(5))
 	props.Property("one owner", prop.ForAll(func(steps []int) (string, error) {
@@ -191,14 +191,14 @@
 	late := int64(1_000_000) + Retention.Milliseconds() + 10*bucketMillis
 	claim(m, CommandClaim, "other", "x", late, false, nil)
 	if m.Calls() != 0 {
-		t.Fatalf("%d calls remembered past the retention", m.Calls())
+		t.Fatalf("%d calls stored past the retention period", m.Calls())
 	}
 	if r := claim(m, CommandClaim, "k", "b", 1_000_000, false, nil); r.Code != CodeExpired {
-		t.Fatalf("a forgotten key: %+v; want expired even from a clock that is behind", r)
+		t.Fatalf("a pruned key: %+v; want CodeExpired even from a leader whose clock is behind", r)
 	}
 }
 
-func TestDurableCallIsNeverPrunedAndMovesOnce(t *testing.T) {
+func TestDurableCallIsNeverPrunedAndTakenOverOnce(t *testing.T) {
 	m := New()
 	req := &StoredRequest{Method: "POST", Body: []byte("x")}
 	claim(m, CommandAccept, "k", "a", 1_000_000, true, req)
@@ -230,11 +230,11 @@
 	}
 	list[2].Operator = "eve"
 	if VerifyAudit(list) == nil {
-		t.Fatal("a changed entry passed")
+		t.Fatal("a modified audit entry was not detected")
 	}
 	list = m.Audit(0)
 	if VerifyAudit(append(list[:2:2], list[3:]...)) == nil {
-		t.Fatal("a missing entry passed")
+		t.Fatal("a missing audit entry was not detected")
 	}
 }
 
--- a/core/state/usage_size_test.go
+++ b/core/state/usage_size_test.go
@@ -9,54 +9,54 @@
 	"cardamomwick.example/core/usage"
 )
 
-// The size aimed at: entries, calls a second, and the length of a window.
+// Dimensions of the largest supported deployment.
 const (
-	sizeEntries = 376
-	sizeCalls   = 1100
-	sizeWindow  = 5 * time.Second
-	// sizePeriod is the time between two reports of an entry at that size.
-	sizePeriod = sizeEntries * 5 * time.Millisecond
-	sizeGather = 100 * time.Millisecond
+	testEntries  = 376
+	testCallRate = 1100
+	testWindow   = 5 * time.Second
+	// reportPeriod is the time between two reports of an entry.
+	reportPeriod = testEntries * 5 * time.Millisecond
+	batchPeriod  = 100 * time.Millisecond
 )
 
-// usageLoad makes the commands by which the entries' reports come into the log.
+// usageLoad generates the commands with the usage reports of all entries.
 type usageLoad struct {
 	random    *rand.Rand
 	customers int
-	numbers   [sizeEntries]uint64
+	numbers   [testEntries]uint64
 	now       time.Time
 }
 
-// next returns the command of one gathering.
+// next returns the command for one batch period.
 func (u *usageLoad) next() *Command {
 	c := &Command{Type: CommandUsage, NowMillis: u.now.UnixMilli()}
-	const told = int(sizeEntries * sizeGather / sizePeriod)
-	for i := range told {
-		entry := (int(u.now.UnixMilli()/sizeGather.Milliseconds())*told + i) % sizeEntries
+	const reportsPerBatch = int(testEntries * batchPeriod / reportPeriod)
+	for i := range reportsPerBatch {
+		entry := (int(u.now.UnixMilli()/batchPeriod.Milliseconds())*reportsPerBatch + i) % testEntries
 		u.numbers[entry]++
-		w := usage.WindowAt(u.now, sizeWindow)
+		w := usage.WindowAt(u.now, testWindow)
 		r := usage.Report{Teller: fmt.Sprintf("front-nasr-hall-%d/8e73c4f4", entry), Number: u.numbers[entry], Through: w - 1}
-		calls := float64(sizeCalls) / sizeEntries * sizePeriod.Seconds()
+		calls := float64(testCallRate) / testEntries * reportPeriod.Seconds()
 		for range int(calls + u.random.Float64()) {
 			r.Rows = append(r.Rows, usage.Row{Window: w, Customer: fmt.Sprintf("customer%d", u.random.IntN(u.customers)), Runs: 1})
 		}
 		c.Reports = append(c.Reports, r)
 	}
-	u.now = u.now.Add(sizeGather)
+	u.now = u.now.Add(batchPeriod)
 	return c
 }
 
-// Bounds of what usage costs the group at that size.
+// Limits on the cost of usage accounting at that size.
 const (
-	// mostLogBytes a second, to each follower.
-	mostLogBytes = 96 << 10
-	// mostApplyShare of a processor is spent on applying it.
-	mostApplyShare = 0.02
-	mostSnapshot   = 4 << 20
+	// maxLogBytes is the log volume to each follower, in bytes per second.
+	maxLogBytes = 96 << 10
+	// maxApplyShare is the share of one CPU core spent applying commands.
+	maxApplyShare    = 0.02
+	maxSnapshotBytes = 4 << 20
 )
 
-// TestUsageIsBoundedAtFullSize: bytes and processor time a second, and the size of a
-// snapshot after so many windows that the oldest are dropped.
+// TestUsageIsBoundedAtFullSize limits log volume, CPU time and snapshot size. It runs
+// long enough for the oldest windows to be dropped.
 func TestUsageIsBoundedAtFullSize(t *testing.T) {
 	for _, customers := range []int{24, 1000} {
 		u := &usageLoad{random: rand.New(rand.NewPCG(1, 2)), customers: customers, now: time.Unix(1_800_000_000, 0)}
@@ -65,15 +65,15 @@
 		bytes, steps := 0, 0
 		var spent time.Duration
 		const length = 20 * time.Minute
-		for ; time.Duration(steps)*sizeGather < length; steps++ {
+		for ; time.Duration(steps)*batchPeriod < length; steps++ {
 			data := u.next().Encode()
 			bytes += len(data)
 			began := time.Now()
 			m.Apply(data)
 			spent += time.Since(began)
-			if w := usage.WindowAt(u.now, sizeWindow); w != usage.WindowAt(u.now.Add(-sizeGather), sizeWindow) {
-				apply(t, m, &Command{Type: CommandAct, Act: &ActCommand{Duty: "usage", Holder: "a", Term: term, Close: w - 1}})
-				apply(t, m, &Command{Type: CommandAct, Act: &ActCommand{Duty: "usage", Holder: "a", Term: term, Taken: w - 1}})
+			if w := usage.WindowAt(u.now, testWindow); w != usage.WindowAt(u.now.Add(-batchPeriod), testWindow) {
+				apply(t, m, &Command{Type: CommandEffect, Effect: &EffectCommand{Duty: "usage", Holder: "a", Term: term, Close: w - 1}})
+				apply(t, m, &Command{Type: CommandEffect, Effect: &EffectCommand{Duty: "usage", Holder: "a", Term: term, Taken: w - 1}})
 			}
 		}
 		perSecond := float64(bytes) / length.Seconds()
@@ -81,8 +81,8 @@
 		snapshot := len(m.Snapshot())
 		t.Logf("%d customers: %.1f KB/s into the log, %.2f%% of a core to apply, snapshot of %d KB with %d windows",
 			customers, perSecond/1024, 100*share, snapshot/1024, len(m.Duties().Usage.Closed))
-		if perSecond > mostLogBytes || share > mostApplyShare || snapshot > mostSnapshot {
-			t.Error("beyond the bounds")
+		if perSecond > maxLogBytes || share > maxApplyShare || snapshot > maxSnapshotBytes {
+			t.Errorf("over a limit: %d log bytes per second, CPU share %.2f, snapshot of %d bytes", maxLogBytes, maxApplyShare, maxSnapshotBytes)
 		}
 	}
 }
--- a/ctl/fake/world.go
+++ b/ctl/fake/world.go
@@ -110,7 +110,7 @@
 			http.Error(rw, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if crashserver.Lethal(body) {
+		if crashserver.TriggersCrash(body) {
 			w.server(id).Crash(downtime)
 			panic(http.ErrAbortHandler)
 		}
--- a/ctl/internal/capacity/main.go
+++ b/ctl/internal/capacity/main.go
@@ -195,7 +195,7 @@
 
 func declarations(version uint64) *bundle.Bundle {
 	second := bundle.Duration(time.Second)
-	class := bundle.Class{Tier: 1, Idempotent: true, FirstTokenTarget: second, Deadline: 10 * second, Order: bundle.OrderFIFO,
+	class := bundle.Class{Tier: 1, Idempotent: true, FirstTokenTarget: second, Deadline: 10 * second, Order: bundle.QueueFIFO,
 		GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
 	return &bundle.Bundle{Version: version, Classes: map[string]bundle.Class{"plain": class},
 		Pools: map[string]bundle.Pool{"fixtures": {Kind: bundle.PoolService, DefaultClass: "plain"}}}
--- a/ctl/internal/demo/main.go
+++ b/ctl/internal/demo/main.go
@@ -112,11 +112,11 @@
 		Version: version, Description: "demo",
 		Classes: map[string]bundle.Class{
 			"chat": {Tier: 1, Idempotent: true, FirstTokenTarget: ms(400), PerTokenTarget: ms(60), Deadline: ms(20000), Share: 0.05,
-				Order: bundle.OrderFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse},
+				Order: bundle.QueueFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse},
 			"dimming": {Tier: 2, FirstTokenTarget: ms(1000), Deadline: ms(10000), Share: 0.05,
-				Order: bundle.OrderFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse},
+				Order: bundle.QueueFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse},
 			"sync": {Tier: 2, Idempotent: true, Durable: true, FirstTokenTarget: ms(2000), Deadline: ms(10000), Share: 0.05,
-				Order: bundle.OrderFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse},
+				Order: bundle.QueueFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse},
 		},
 		Pools: map[string]bundle.Pool{
 			"lumen":    {Kind: bundle.PoolModel, DefaultClass: "chat"},
--- a/ctl/internal/overhead/main.go
+++ b/ctl/internal/overhead/main.go
@@ -65,7 +65,7 @@
 
 func setUp(ctx context.Context, c *harness.Cluster) error {
 	second := bundle.Duration(time.Second)
-	class := bundle.Class{Tier: 1, Idempotent: true, FirstTokenTarget: second, Deadline: 10 * second, Order: bundle.OrderFIFO,
+	class := bundle.Class{Tier: 1, Idempotent: true, FirstTokenTarget: second, Deadline: 10 * second, Order: bundle.QueueFIFO,
 		GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
 	once := class
 	once.Idempotent = false
--- a/ctl/prove/lethal_test.go
+++ b/ctl/prove/lethal_test.go
@@ -33,7 +33,7 @@
 	t.Run("chat that is repeated", func(t *testing.T) {
 		var last *caller.Result
 		for n := range repeats {
-			last = w.chat(n%len(w.Instances), "mood", "chat that "+crashserver.Marker, 8)
+			last = w.chat(n%len(w.Instances), "mood", "chat that "+crashserver.CrashMarker, 8)
 			time.Sleep(200 * time.Millisecond)
 		}
 		expectQuarantined(t, last)
@@ -41,7 +41,7 @@
 	})
 	t.Run("recorded call", func(t *testing.T) {
 		sent := time.Now()
-		r := w.call(0, "sync", "", "record that "+crashserver.Marker)
+		r := w.call(0, "sync", "", "record that "+crashserver.CrashMarker)
 		took := time.Since(sent)
 		t.Logf("the caller got %d, outcome %q, after %v", r.Status, r.Outcome, took)
 		if r.Error == nil || r.Error.Type != api.ErrorAccepted || r.Error.RetryAfterMillis < quarantine.FirstHold.Milliseconds()/2 {
--- a/ctl/prove/world_test.go
+++ b/ctl/prove/world_test.go
@@ -33,7 +33,7 @@
 func declarations(version uint64) *bundle.Bundle {
 	class := func(tier int, first, deadline int) bundle.Class {
 		return bundle.Class{Tier: tier, Idempotent: true, FirstTokenTarget: ms(first), Deadline: ms(deadline), Share: 0.05,
-			Order: bundle.OrderFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
+			Order: bundle.QueueFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
 	}
 	b := &bundle.Bundle{Version: version, Classes: map[string]bundle.Class{
 		"mood": class(1, 400, 60000), "scene": class(3, 5000, 120000), "summary": class(4, 5000, 120000),
--- a/daemon/capacity/orderer.go
+++ b/daemon/capacity/orderer.go
@@ -191,7 +191,7 @@
 
 func (o *Orderer) order(ctx context.Context, t *duties.Tenure, x capacity.Order) result {
 	r := result{order: x, outcome: provider.Unreachable}
-	res, err := t.Record(ctx, state.ActCommand{Order: &x})
+	res, err := t.Record(ctx, state.EffectCommand{Order: &x})
 	if err != nil {
 		log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "record order", "pool": x.Pool, "zone": x.Zone}).Warn("not sent")
 		return r
--- a/daemon/control/news.go
+++ b/daemon/control/news.go
@@ -54,7 +54,7 @@
 		v, viewChanged := s.replica.View()
 		s.follow(v)
 		if req.Brief && v.Ready {
-			return &watchReply{Members: v.Members, InForce: v.Routing.Held.Version}, nil
+			return &watchReply{Members: v.Members, InForce: v.Routing.Declared.Version}, nil
 		}
 		if !v.Leading && req.Stale && v.Ready {
 			return s.staleNews(v)
@@ -145,13 +145,13 @@
 func (s *Service) news(req *watchRequest, v replica.View) (reply *watchReply, changed <-chan struct{}, news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reply = &watchReply{Members: v.Members, InForce: v.Routing.Held.Version}
+	reply = &watchReply{Members: v.Members, InForce: v.Routing.Declared.Version}
 	if !v.Leading && !s.relay.inTouch(v) {
 		reply.Redirect = elsewhere()
 		return reply, s.changed, false
 	}
-	if v.Routing.Held.Version > req.Declaration {
-		reply.Declaration = v.Routing.Held.Declaration
+	if v.Routing.Declared.Version > req.Declaration {
+		reply.Declaration = v.Routing.Declared.Declaration
 	}
 	reply.Listing = s.shared.share(s.listing(req, v))
 	return reply, s.changed, reply.Declaration != nil || reply.Listing != nil
@@ -193,7 +193,7 @@
 	}
 	now := time.Now().UnixMilli()
 	for _, h := range v.Holds {
-		reply.Holds = append(reply.Holds, h.Told(now))
+		reply.Holds = append(reply.Holds, h.RulingAt(now))
 	}
 	return reply
 }
@@ -220,7 +220,7 @@
 	if p.body != nil && p.routing == v.Routing.Revision && p.holds == v.HoldsRevision && now.Sub(p.at) < packedTime {
 		return p.body, nil
 	}
-	reply := &watchReply{Declaration: v.Routing.Held.Declaration, Members: v.Members,
+	reply := &watchReply{Declaration: v.Routing.Declared.Declaration, Members: v.Members,
 		Listing: &sharedListing{Listing: &fleet.Listing{Version: v.Routing.Revision, Servers: v.Routing.Servers}}}
 	body, err := msgpack.Marshal(withHolds(reply, &watchRequest{}, v))
 	if err != nil {
--- a/daemon/control/read.go
+++ b/daemon/control/read.go
@@ -26,7 +26,7 @@
 // only.
 func (s *Service) Declaration() *routing.Declaration {
 	v, _ := s.replica.View()
-	held := v.Routing.Held
+	held := v.Routing.Declared
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if held.Version == 0 || s.decoded != nil && s.decoded.Version == held.Version {
--- a/daemon/control/relay.go
+++ b/daemon/control/relay.go
@@ -48,7 +48,7 @@
 // inTouch reports whether others may go by what this replica has: it has heard of the
 // leader lately, and its log has the declaration that the leader named.
 func (r *relay) inTouch(v replica.View) bool {
-	return !r.heard.IsZero() && boottime.Now().Sub(r.heard) < relayTime && v.Routing.Held.Version >= r.inForce
+	return !r.heard.IsZero() && boottime.Now().Sub(r.heard) < relayTime && v.Routing.Declared.Version >= r.inForce
 }
 
 // lately reports whether the replica is or was in touch a short time ago, or has just started:
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -96,7 +96,7 @@
 func publishTest(t *testing.T, url string) {
 	t.Helper()
 	d := bundle.Duration(5 * time.Second)
-	class := bundle.Class{Tier: 1, Idempotent: true, FirstTokenTarget: d, Deadline: d, Order: bundle.OrderFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
+	class := bundle.Class{Tier: 1, Idempotent: true, FirstTokenTarget: d, Deadline: d, Order: bundle.QueueFIFO, GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
 	once := class
 	once.Idempotent = false
 	b := &bundle.Bundle{Version: 1, Classes: map[string]bundle.Class{"chat": class, "once": once},
--- a/daemon/duties/runner.go
+++ b/daemon/duties/runner.go
@@ -194,13 +194,13 @@
 
 // Record puts an effect into the log and returns its fence. Nothing may be sent that was
 // not recorded.
-func (t *Tenure) Record(ctx context.Context, act state.ActCommand) (state.Result, error) {
+func (t *Tenure) Record(ctx context.Context, act state.EffectCommand) (state.Result, error) {
 	r := t.runner
 	act.Duty, act.Holder, act.Term = r.opt.Duty, r.opt.Owner, t.Term
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	sent := boottime.Now()
-	res, err := r.opt.Log.Propose(ctx, &state.Command{Type: state.CommandAct, Act: &act})
+	res, err := r.opt.Log.Propose(ctx, &state.Command{Type: state.CommandEffect, Effect: &act})
 	if err != nil {
 		return res, eris.Wrapf(err, "record effect of duty %s", r.opt.Duty)
 	}
--- a/daemon/lease/lease.go
+++ b/daemon/lease/lease.go
@@ -134,7 +134,7 @@
 		return eris.Errorf("replicas offer generation %d after %d", l.Update.Generation, old.Generation)
 	}
 	if l.Update.Generation != old.Generation {
-		if err := h.history.Take(&l.Update); err != nil {
+		if err := h.history.Apply(&l.Update); err != nil {
 			return err
 		}
 		next := h.publish()
--- a/daemon/placement/placement.go
+++ b/daemon/placement/placement.go
@@ -171,7 +171,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return eris.Errorf("engine %s answered %d", o.Server, resp.StatusCode)
 	}
-	s.planner.Given(time.Now(), o)
+	s.planner.OrderSent(time.Now(), o)
 	log.WithFields(log.Fields{"step": "order engine", "peer": o.Server, "fence": o.Fence, "version": o.Version}).Info("engine ordered")
 	return nil
 }
--- a/daemon/replica/replica.go
+++ b/daemon/replica/replica.go
@@ -354,8 +354,8 @@
 		r.failWaiters()
 		return
 	}
-	genesis := state.Command{Type: state.CommandGenesis, Operators: r.opt.Operators}
-	r.node.Propose(genesis.Encode())
+	bootstrap := state.Command{Type: state.CommandBootstrap, Operators: r.opt.Operators}
+	r.node.Propose(bootstrap.Encode())
 }
 
 func (r *Replica) failWaiters() {
--- a/daemon/replica/serve.go
+++ b/daemon/replica/serve.go
@@ -144,7 +144,7 @@
 func (r *Replica) handleSource(ctx context.Context, _ string, _ []byte) (any, error) {
 	return readThen(ctx, r,
 		func(d redirect) sourceReply { return sourceReply{redirect: d} },
-		func() sourceReply { return sourceReply{Source: r.machine.Routing().Held.Source} })
+		func() sourceReply { return sourceReply{Source: r.machine.Routing().Declared.Source} })
 }
 
 // handleJoin admits a replica with a new identity as a learner, if the
--- a/daemon/routed_metrics.go
+++ b/daemon/routed_metrics.go
@@ -38,7 +38,7 @@
 		gauge("cardamomwick_replica_leading", func() float64 { v, _ := d.replica.View(); return number(v.Leading) })
 		gauge("cardamomwick_replica_in_group", func() float64 { v, _ := d.replica.View(); return number(v.Ready) })
 		gauge("cardamomwick_replica_members", func() float64 { v, _ := d.replica.View(); return float64(len(v.Members)) })
-		gauge("cardamomwick_replica_declaration_version", func() float64 { v, _ := d.replica.View(); return float64(v.Routing.Held.Version) })
+		gauge("cardamomwick_replica_declaration_version", func() float64 { v, _ := d.replica.View(); return float64(v.Routing.Declared.Version) })
 	}
 }
 
--- a/daemon/routed_test.go
+++ b/daemon/routed_test.go
@@ -45,7 +45,7 @@
 	c.declare(group[0], 2)
 	c.until("the new replica has the declaration", 15*time.Second, func() bool {
 		v, _ := fresh.replica.View()
-		return v.Routing.Held.Version == 2
+		return v.Routing.Declared.Version == 2
 	})
 	c.until("the lost one is ended and the new one a member", replaceTime, func() bool {
 		v, _ := group[0].replica.View()
@@ -67,7 +67,7 @@
 	back := c.start("r1", group[1].peer, t.TempDir(), false)
 	c.until("the replica is a member again", 15*time.Second, func() bool {
 		v, _ := back.replica.View()
-		return v.Ready && len(v.Members) == 3 && v.Routing.Held.Version == 1
+		return v.Ready && len(v.Members) == 3 && v.Routing.Declared.Version == 1
 	})
 	c.declare(back, 2)
 	c.expectSource(group[2], 2)
--- a/daemon/router/admission.go
+++ b/daemon/router/admission.go
@@ -21,7 +21,7 @@
 func (c *call) admitted() bool {
 	r := c.router
 	r.mu.Lock()
-	c.forecast = r.balancer.Forecast(time.Now(), c.pool.Name, c.size, time.Until(c.arrived.Add(c.route.Silence())), time.Until(c.until))
+	c.forecast = r.balancer.Forecast(time.Now(), c.pool.Name, c.size, time.Until(c.arrived.Add(c.route.EventTimeout())), time.Until(c.until))
 	r.mu.Unlock()
 	if c.forecast.Admission != balance.Hopeless {
 		return true
@@ -35,7 +35,7 @@
 // target goes behind all that can still be in time.
 func (c *call) urgency() int {
 	if c.forecast.Admission == balance.Late {
-		return routing.LeastUrgent
+		return routing.LowestPriority
 	}
-	return c.route.Urgency(c.customer)
+	return c.route.Priority(c.customer)
 }
--- a/daemon/router/limit.go
+++ b/daemon/router/limit.go
@@ -61,7 +61,7 @@
 // may take the call have named request limits, as long as that is worth it; otherwise it
 // gives the call its final answer.
 func (c *call) server(ctx context.Context) (balance.Choice, bool) {
-	w := &ratelimit.Waiter{Rank: c.route.Urgency(c.customer)}
+	w := &ratelimit.Waiter{Rank: c.route.Priority(c.customer)}
 	defer c.router.leaveQueue(c, w)
 	began := time.Now()
 	patience := began.Add(time.Duration(waitShare * float64(c.until.Sub(began))))
--- a/daemon/usage/reporter.go
+++ b/daemon/usage/reporter.go
@@ -116,7 +116,7 @@
 // report closes a window, unless it is closed, and reports what it then holds.
 func (r *Reporter) report(ctx context.Context, t *duties.Tenure, w usage.Window, v *usage.View) {
 	r.notBefore = time.Now().Add(retryPause)
-	act := state.ActCommand{Close: w}
+	act := state.EffectCommand{Close: w}
 	if agreed, ok := r.opt.Now(); ok {
 		act.Forget = usage.WindowAt(agreed.Add(-r.opt.Keep), r.opt.Window)
 	}
@@ -147,7 +147,7 @@
 	switch {
 	case outcome == provider.Accepted:
 		r.notBefore = now.Add(r.opt.Pause)
-		if _, err := t.Record(ctx, state.ActCommand{Taken: w}); err != nil {
+		if _, err := t.Record(ctx, state.EffectCommand{Taken: w}); err != nil {
 			log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "note taken window", "window": w}).Warn("it will be reported once more, with the same counts")
 		}
 	case outcome == provider.Refused:
