--- a/core/raft/doc.go
+++ b/core/raft/doc.go
@@ -3,8 +3,8 @@
 // Ongaro's dissertation for pre-vote, check quorum, read index and
 // single-server membership changes) as a pure state machine.
 //
-// The package performs no I/O and reads no clock. The caller feeds it Tick,
-// Step, Propose and ReadIndex, then takes a Ready batch: it must persist
-// HardState, Snapshot and Entries first, send Messages afterwards, apply
-// Committed, and finally call Advance. Ticks are the only unit of time.
+// The package performs no I/O and reads no clock; time is measured in ticks. The
+// caller provides input with Tick, Step, Propose and ReadIndex, then processes a Ready
+// batch: it must first persist HardState, Snapshot and Entries, then send Messages,
+// apply Committed, and finally call Advance.
 package raft
--- a/core/raft/election.go
+++ b/core/raft/election.go
@@ -1,7 +1,7 @@
 package raft
 
-// campaign starts a pre-vote or a real election. A transfer election was asked
-// for by the leader itself, so that voters need not protect that leader.
+// campaign starts a pre-vote or an election. transfer marks an election requested by the
+// leader itself, which voters grant although they still hear from that leader.
 func (n *Node) campaign(role Role, transfer bool) {
 	n.elapsed = 0
 	n.role = role
@@ -24,7 +24,8 @@
 	}
 }
 
-// electionWon moves on when a majority has granted its vote.
+// electionWon reports whether a majority has granted its vote, and if so starts the
+// election after a pre-vote or becomes leader.
 func (n *Node) electionWon() bool {
 	granted := 0
 	for _, m := range n.log.membership().membership.Members {
@@ -53,12 +54,12 @@
 	return denied >= n.quorum()
 }
 
-// handleVoteRequest answers MsgPreVote and MsgVote. A pre-vote changes no
-// state here and is denied while a leader is being heard.
+// handleVoteRequest replies to MsgPreVote and MsgVote. A pre-vote changes no state and is
+// denied while this replica knows a live leader.
 func (n *Node) handleVoteRequest(m Message) {
-	fresh := n.log.upToDate(m.Index, m.LogTerm)
+	upToDate := n.log.upToDate(m.Index, m.LogTerm)
 	if m.Type == MsgPreVote {
-		grant := m.Term > n.term && fresh && !n.hearsLeader() && !n.hasJustVoted(m.From)
+		grant := m.Term > n.term && upToDate && !n.knowsLiveLeader() && !n.recentlyVotedForOther(m.From)
 		reply := Message{Type: MsgPreVoteReply, To: m.From, Term: m.Term, Reject: !grant}
 		if !grant {
 			reply.Term = n.term
@@ -66,24 +67,25 @@
 		n.send(reply)
 		return
 	}
-	grant := m.Term == n.term && fresh && (n.vote == None || n.vote == m.From) && n.role == Follower
+	grant := m.Term == n.term && upToDate && (n.vote == None || n.vote == m.From) && n.role == Follower
 	if grant {
-		n.vote, n.granted = m.From, m.From
+		n.vote, n.votedSinceStart = m.From, m.From
 		n.elapsed = 0
 	}
 	n.send(Message{Type: MsgVoteReply, To: m.From, Term: n.term, Reject: !grant})
 }
 
-// hearsLeader reports whether there is a leader as far as this replica knows. One that
-// leads notices by its quorum when it no longer does.
-func (n *Node) hearsLeader() bool {
+// knowsLiveLeader reports whether this replica leads or has recently heard from a leader.
+// A leader that loses its quorum steps down by the quorum check.
+func (n *Node) knowsLiveLeader() bool {
 	return n.role == Leader || n.leader != None && n.elapsed < n.cfg.ElectionTicks
 }
 
-// hasJustVoted reports whether another candidate may have won with this replica's vote
-// and has had no time to say so: its first heartbeat, and a tick for the way.
-func (n *Node) hasJustVoted(candidate uint64) bool {
-	return n.granted != None && n.granted != candidate && n.elapsed <= n.cfg.HeartbeatTicks
+// recentlyVotedForOther reports whether another candidate may have won with this
+// replica's vote, but its first heartbeat may not have arrived yet. It allows one
+// heartbeat interval and one tick of latency.
+func (n *Node) recentlyVotedForOther(candidate uint64) bool {
+	return n.votedSinceStart != None && n.votedSinceStart != candidate && n.elapsed <= n.cfg.HeartbeatTicks
 }
 
 func (n *Node) handleVoteReply(m Message) {
@@ -106,8 +108,8 @@
 	}
 }
 
-// TransferLeadership hands the leadership to the most caught-up voter. New
-// proposals are refused until it is done or an election timeout has passed.
+// TransferLeadership transfers leadership to the most up-to-date voter. Proposals are
+// rejected until the transfer completes or an election timeout has passed.
 func (n *Node) TransferLeadership() {
 	if n.role != Leader {
 		return
@@ -129,6 +131,7 @@
 	n.finishTransfer()
 }
 
+// finishTransfer asks the transferee to start an election once its log is complete.
 func (n *Node) finishTransfer() {
 	if n.transferee != None && n.progress[n.transferee].Match == n.log.last() {
 		n.send(Message{Type: MsgTimeoutNow, To: n.transferee, Term: n.term})
--- a/core/raft/log.go
+++ b/core/raft/log.go
@@ -5,14 +5,14 @@
 type raftLog struct {
 	snap    SnapshotMeta
 	entries []Entry
-	// stable is the last index known to be persisted.
+	// stable is the last persisted index.
 	stable uint64
-	// commit is the last index known to be on a quorum; it never decreases.
+	// commit is the last index known to be committed; it never decreases.
 	commit uint64
-	// applied is the last index handed out in Ready.Committed.
+	// applied is the last index that the driver has applied.
 	applied uint64
-	// memberships holds the memberships in the log, oldest first; the last
-	// one is in force, whether committed or not.
+	// memberships holds the memberships in the log, oldest first. The last one is active,
+	// whether committed or not.
 	memberships []membershipAt
 }
 
@@ -48,13 +48,14 @@
 	return t
 }
 
-// upToDate reports whether a log that ends at (index, term) holds at least
-// all that this one may have committed.
+// upToDate reports whether a log that ends at (index, term) is at least as up to date as
+// this one.
 func (l *raftLog) upToDate(index, term uint64) bool {
 	return term > l.lastTerm() || (term == l.lastTerm() && index >= l.last())
 }
 
-// slice returns entries [from, to], bounded by maxBytes but at least one.
+// slice returns the entries from..to inclusive, limited to maxBytes but at least one
+// entry.
 func (l *raftLog) slice(from, to uint64, maxBytes int) []Entry {
 	var out []Entry
 	size := 0
@@ -107,7 +108,7 @@
 
 func (l *raftLog) membership() membershipAt { return l.memberships[len(l.memberships)-1] }
 
-// membershipAtIndex returns the membership in force at a log index.
+// membershipAtIndex returns the membership that is active at a log index.
 func (l *raftLog) membershipAtIndex(index uint64) Membership {
 	for i := len(l.memberships) - 1; i > 0; i-- {
 		if l.memberships[i].index <= index {
@@ -117,7 +118,7 @@
 	return l.memberships[0].membership
 }
 
-// compact forgets the entries up to index, which a snapshot now covers.
+// compact discards the entries up to index, which a snapshot covers.
 func (l *raftLog) compact(index uint64) {
 	if index <= l.snap.Index || index > l.applied {
 		return
@@ -132,7 +133,7 @@
 	l.memberships[0] = membershipAt{index, m}
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *raftLog) restore(meta SnapshotMeta) {
 	l.snap = meta
 	l.entries = nil
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -2,36 +2,36 @@
 
 import "slices"
 
-// maxAppendBytes bounds the command bytes of one append message.
+// maxAppendBytes limits the command bytes of one append message.
 const maxAppendBytes = 1 << 20
 
-// Config sets up a Node.
+// Config configures a Node.
 type Config struct {
-	// ID is this replica's identity; must not be None.
+	// ID is this replica's ID; it must not be None.
 	ID uint64
-	// ElectionTicks is the shortest time without a leader before an election,
-	// in ticks. The longest is twice as much.
+	// ElectionTicks is the minimum election timeout in ticks. The maximum is twice as
+	// long.
 	ElectionTicks int
-	// HeartbeatTicks is the time between two heartbeats, in ticks.
+	// HeartbeatTicks is the heartbeat interval in ticks.
 	HeartbeatTicks int
-	// Rand returns a number in [0, n).
+	// Rand returns a random number in [0, n).
 	Rand func(n int) int
-	// State, Snapshot and Entries are what was persisted.
+	// State, Snapshot and Entries are the persisted state.
 	State    HardState
 	Snapshot SnapshotMeta
 	Entries  []Entry
 }
 
-// Ready is a batch of work for the driver, in the order of its fields.
+// Ready is a batch of work that the driver processes in the order of the fields.
 type Ready struct {
 	// HardState is nil when unchanged.
 	HardState *HardState
-	// Snapshot replaces the state machine and the log when not nil.
+	// Snapshot, if not nil, replaces the state machine and the log.
 	Snapshot *Snapshot
-	// Entries are to be persisted; an entry replaces those at and above its
-	// index.
+	// Entries are to be persisted. The first one replaces all persisted entries at and
+	// above its index.
 	Entries []Entry
-	// Messages may be sent only after the above is synced.
+	// Messages may be sent only after all of the above is synced to disk.
 	Messages []Message
 	// Committed entries are to be applied in order.
 	Committed []Entry
@@ -45,34 +45,34 @@
 	role Role
 	term uint64
 	vote uint64
-	// granted is who got the vote since the start of the process; an older one was used
-	// up before.
-	granted uint64
-	leader  uint64
-	log     *raftLog
+	// votedSinceStart is the candidate that got the vote in the current term, unless the
+	// vote was cast before the process started.
+	votedSinceStart uint64
+	leader          uint64
+	log             *raftLog
 
 	elapsed         int
 	electionTimeout int
-	// eager counts the short election timeouts that are left after the start.
-	eager         int
-	heartbeat     int
-	quorumElapsed int
+	// shortTimeoutsLeft counts the remaining short election timeouts after the start.
+	shortTimeoutsLeft int
+	heartbeat         int
+	quorumElapsed     int
 
 	votes      map[uint64]bool
 	progress   map[uint64]*Progress
 	transferee uint64
 
-	// round numbers the heartbeat broadcasts of this leader.
+	// round is the number of this leader's latest heartbeat broadcast.
 	round uint64
-	// waitingRead holds reads that no round has taken yet; roundReads those
-	// that wait for the answers to theirs.
-	waitingRead []pendingRead
-	roundReads  []pendingRead
-
-	messages []Message
-	reads    []ReadState
-	pending  *Snapshot
-	saved    HardState
+	// queuedReads holds reads not yet assigned to a round, confirmingReads those that
+	// wait for a quorum to answer their round.
+	queuedReads     []pendingRead
+	confirmingReads []pendingRead
+
+	messages        []Message
+	reads           []ReadState
+	pendingSnapshot *Snapshot
+	savedState      HardState
 }
 
 type pendingRead struct {
@@ -81,35 +81,35 @@
 	round   uint64
 }
 
-// New makes a follower from persisted state.
+// New returns a follower with the persisted state.
 func New(cfg Config) *Node {
 	n := &Node{cfg: cfg, id: cfg.ID, log: newLog(cfg.Snapshot, cfg.Entries)}
 	n.term = cfg.State.Term
 	n.vote = cfg.State.Vote
 	n.log.commit = max(n.log.commit, min(cfg.State.Commit, n.log.last()))
-	n.saved = n.hardState()
-	n.eager = eagerRounds
+	n.savedState = n.hardState()
+	n.shortTimeoutsLeft = shortElections
 	n.becomeFollower(n.term, None)
 	return n
 }
 
-// Limits of the first elections after a start.
+// Parameters of the first elections after a start.
 const (
-	// startDivisor shortens their timeouts.
-	startDivisor = 4
-	// eagerRounds is how many of them there are.
-	eagerRounds = 6
+	// shortTimeoutDivisor divides their election timeouts.
+	shortTimeoutDivisor = 4
+	// shortElections is the number of elections with a short timeout.
+	shortElections = 6
 )
 
-// resetElectionTimeout draws the next timeout. A replica that has just started
-// asks early whether there is a leader, so that a group that was down as a whole
-// is back soon. A pre-vote disturbs nobody; real elections, and those after some
-// rounds in vain, take their full time, so that slow answers are waited for.
+// resetElectionTimeout draws the next election timeout. A replica that has just started
+// sends pre-votes early, so that a group that was down as a whole recovers quickly; a
+// pre-vote does not disturb a working leader. Elections, and pre-votes after
+// shortElections unsuccessful ones, use the full timeout to allow for slow replies.
 func (n *Node) resetElectionTimeout() {
 	ticks := n.cfg.ElectionTicks
-	if n.eager > 0 && n.role != Candidate {
-		n.eager--
-		ticks = max(2, ticks/startDivisor)
+	if n.shortTimeoutsLeft > 0 && n.role != Candidate {
+		n.shortTimeoutsLeft--
+		ticks = max(2, ticks/shortTimeoutDivisor)
 	}
 	n.electionTimeout = ticks + n.cfg.Rand(ticks)
 }
@@ -147,8 +147,8 @@
 	}
 }
 
-// quorumActive reports whether a majority of voters was heard from since the
-// last call.
+// quorumActive reports whether a majority of voters has sent a message since the last
+// call.
 func (n *Node) quorumActive() bool {
 	active := 0
 	for _, m := range n.log.membership().membership.Members {
@@ -173,13 +173,13 @@
 func (n *Node) becomeFollower(term, leader uint64) {
 	if term > n.term {
 		n.term = term
-		n.vote, n.granted = None, None
+		n.vote, n.votedSinceStart = None, None
 	}
 	n.role = Follower
 	n.leader = leader
 	n.elapsed = 0
 	if leader != None {
-		n.eager = 0
+		n.shortTimeoutsLeft = 0
 	}
 	n.resetElectionTimeout()
 	n.transferee = None
@@ -188,17 +188,17 @@
 }
 
 func (n *Node) failReads() {
-	for _, r := range append(n.waitingRead, n.roundReads...) {
+	for _, r := range append(n.queuedReads, n.confirmingReads...) {
 		n.reads = append(n.reads, ReadState{Context: r.context})
 	}
-	n.waitingRead = nil
-	n.roundReads = nil
+	n.queuedReads = nil
+	n.confirmingReads = nil
 }
 
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.id
-	n.eager = 0
+	n.shortTimeoutsLeft = 0
 	n.elapsed = 0
 	n.heartbeat = 0
 	n.quorumElapsed = 0
@@ -232,8 +232,8 @@
 	return e.Index
 }
 
-// Propose appends a command and returns its index and term. The command is
-// accepted only when an entry with this index and term is committed.
+// Propose appends a command and returns its index and term. The command has succeeded
+// only once an entry with this index and term is committed.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if n.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -244,8 +244,8 @@
 	return n.appendEntry(Entry{Type: EntryCommand, Data: data}), n.term, nil
 }
 
-// ProposeMembership appends a new membership that differs in the vote of at
-// most one member.
+// ProposeMembership appends a new membership, which may differ from the current one in
+// at most one voter.
 func (n *Node) ProposeMembership(m Membership) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -266,20 +266,19 @@
 	return ok && t == n.term
 }
 
-// Ready returns the work that has gathered. The driver calls Advance with it
-// when done.
+// Ready returns the pending work. The driver passes it to Advance when done.
 func (n *Node) Ready() Ready {
 	if n.role == Leader {
 		n.replicate()
 	}
-	rd := Ready{Snapshot: n.pending, Messages: n.messages, Reads: n.reads}
-	if hs := n.hardState(); hs != n.saved {
+	rd := Ready{Snapshot: n.pendingSnapshot, Messages: n.messages, Reads: n.reads}
+	if hs := n.hardState(); hs != n.savedState {
 		rd.HardState = &hs
 	}
 	if n.log.stable < n.log.last() {
 		rd.Entries = slices.Clone(n.log.entries[n.log.stable-n.log.snap.Index:])
 	}
-	if n.pending == nil && n.log.applied < n.log.commit {
+	if n.pendingSnapshot == nil && n.log.applied < n.log.commit {
 		rd.Committed = n.log.slice(n.log.applied+1, n.log.commit, 4*maxAppendBytes)
 	}
 	n.messages = nil
@@ -289,17 +288,17 @@
 
 // HasReady reports whether Ready would return any work.
 func (n *Node) HasReady() bool {
-	return len(n.messages) > 0 || len(n.reads) > 0 || n.pending != nil ||
-		n.hardState() != n.saved || n.log.stable < n.log.last() || n.log.applied < n.log.commit
+	return len(n.messages) > 0 || len(n.reads) > 0 || n.pendingSnapshot != nil ||
+		n.hardState() != n.savedState || n.log.stable < n.log.last() || n.log.applied < n.log.commit
 }
 
 // Advance tells the node that the batch has been persisted, sent and applied.
 func (n *Node) Advance(rd Ready) {
 	if rd.HardState != nil {
-		n.saved = *rd.HardState
+		n.savedState = *rd.HardState
 	}
 	if rd.Snapshot != nil {
-		n.pending = nil
+		n.pendingSnapshot = nil
 	}
 	if k := len(rd.Entries); k > 0 {
 		n.log.stable = max(n.log.stable, rd.Entries[k-1].Index)
@@ -316,7 +315,7 @@
 // Compact drops the log up to index, which a persisted snapshot covers.
 func (n *Node) Compact(index uint64) { n.log.compact(index) }
 
-// Status is a view of a Node for its driver.
+// Status is a copy of a Node's state for its driver.
 type Status struct {
 	ID, Term, Leader      uint64
 	Role                  Role
@@ -325,7 +324,7 @@
 	Membership            Membership
 	// MembershipSettled is false while the latest membership is not committed.
 	MembershipSettled bool
-	// Progress is filled on the leader only.
+	// Progress is set on the leader only.
 	Progress map[uint64]Progress
 }
 
@@ -344,7 +343,7 @@
 	return s
 }
 
-// Leading reports whether the node believes itself leader, and its term.
+// Leading reports whether the node considers itself the leader, and its term.
 func (n *Node) Leading() (bool, uint64) { return n.role == Leader, n.term }
 
 // LeaderID returns the known leader or None.
@@ -356,8 +355,8 @@
 	return SnapshotMeta{Index: index, Term: t, Membership: n.log.membershipAtIndex(index)}
 }
 
-// Persisted returns the hard state and the entries after index as they must
-// stand on disk next to a snapshot at index.
+// Persisted returns the hard state and the entries after index, which must be on disk
+// together with a snapshot at index.
 func (n *Node) Persisted(index uint64) (HardState, []Entry) {
 	var after []Entry
 	if index < n.log.stable {
--- a/core/raft/progress.go
+++ b/core/raft/progress.go
@@ -1,26 +1,28 @@
 package raft
 
-// maxInflight bounds the append messages sent to one follower without answer.
+// maxInflight limits the unacknowledged append messages to one follower.
 const maxInflight = 64
 
-// Progress is the leader's view of one replica. Only the leader changes it.
+// Progress is the leader's view of one replica's log.
 type Progress struct {
-	// Match is the highest index known to be persisted there; never decreases
+	// Match is the highest index known to be persisted on the replica. It never decreases
 	// within a term.
 	Match uint64
-	// Next is the index of the next entry to send; always above Match.
+	// Next is the index of the next entry to send. It is always greater than Match.
 	Next uint64
-	// Active: heard from since the last quorum check.
+	// Active means that a message has arrived since the last quorum check.
 	Active bool
-	// probing: at most one append in flight until an answer comes.
+	// probing limits the appends in flight to one until a reply arrives.
 	probing bool
-	// waiting: a probe or snapshot is in flight; a heartbeat answer clears it.
-	waiting  bool
+	// waiting means that a probe is in flight; a heartbeat reply clears it.
+	waiting bool
+	// snapshot is the index of the snapshot being sent, or 0.
 	snapshot uint64
+	// inflight counts the appends sent since the last reply.
 	inflight int
-	// matchAtHeartbeat is Match at the previous heartbeat answer.
+	// matchAtHeartbeat is Match as of the previous heartbeat reply.
 	matchAtHeartbeat uint64
-	// ackedRound is the last heartbeat round answered.
+	// ackedRound is the latest acknowledged heartbeat round.
 	ackedRound uint64
 }
 
@@ -54,8 +56,8 @@
 	p.Next = max(p.Match+1, min(p.Next-1, hint+1))
 }
 
-// detectLoss falls back to probing when appends stay unanswered from one
-// heartbeat answer to the next, as after a lost connection.
+// detectLoss falls back to probing when no append was acknowledged between two heartbeat
+// replies, as after a lost connection.
 func (p *Progress) detectLoss(last uint64) {
 	if p.Match < last && p.Match == p.matchAtHeartbeat && !p.probing && p.snapshot == 0 {
 		p.probing = true
--- a/core/raft/raft_test.go
+++ b/core/raft/raft_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// disk is what one fake replica has persisted.
+// disk simulates the persistent state of one replica.
 type disk struct {
 	state   HardState
 	snap    SnapshotMeta
@@ -30,27 +30,29 @@
 	}
 }
 
-// maxID bounds the replica IDs; loops over it keep runs repeatable.
+// maxID is the highest replica ID. Loops run up to it instead of ranging over maps, to
+// keep runs reproducible.
 const maxID = 9
 
-// network drives a group of nodes with lost, delayed and cut messages.
+// network simulates a group of nodes with lost and delayed messages and disconnected
+// replicas.
 type network struct {
-	rnd     *rand.Rand
-	nodes   map[uint64]*Node
-	disks   map[uint64]*disk
-	cut     map[uint64]bool
-	queue   []Message
-	applied map[uint64]uint64
-	chosen  map[uint64]string
-	leaders map[uint64]uint64
-	reads   map[uint64]ReadState
-	dropPct int
-	err     error
+	rnd          *rand.Rand
+	nodes        map[uint64]*Node
+	disks        map[uint64]*disk
+	disconnected map[uint64]bool
+	queue        []Message
+	applied      map[uint64]uint64
+	committed    map[uint64]string
+	leaders      map[uint64]uint64
+	reads        map[uint64]ReadState
+	dropPct      int
+	err          error
 }
 
 func newNetwork(seed int64, size int) *network {
 	w := &network{rnd: rand.New(rand.NewSource(seed)), nodes: map[uint64]*Node{}, disks: map[uint64]*disk{},
-		cut: map[uint64]bool{}, applied: map[uint64]uint64{}, chosen: map[uint64]string{}, leaders: map[uint64]uint64{}, reads: map[uint64]ReadState{}}
+		disconnected: map[uint64]bool{}, applied: map[uint64]uint64{}, committed: map[uint64]string{}, leaders: map[uint64]uint64{}, reads: map[uint64]ReadState{}}
 	var m Membership
 	for id := uint64(1); id <= uint64(size); id++ {
 		m = m.With(Member{ID: id, Voter: true})
@@ -68,7 +70,7 @@
 	w.applied[id] = d.snap.Index
 }
 
-func (w *network) pump(id uint64) {
+func (w *network) processReady(id uint64) {
 	n := w.nodes[id]
 	for n.HasReady() {
 		rd := n.Ready()
@@ -99,17 +101,17 @@
 	}
 	w.applied[id] = e.Index
 	val := fmt.Sprintf("%d/%d/%s", e.Term, e.Type, e.Data)
-	if old, ok := w.chosen[e.Index]; ok && old != val {
+	if old, ok := w.committed[e.Index]; ok && old != val {
 		w.err = fmt.Errorf("index %d: %q and %q both committed", e.Index, old, val)
 	}
-	w.chosen[e.Index] = val
+	w.committed[e.Index] = val
 }
 
 func (w *network) step() {
 	for id := uint64(1); id <= maxID; id++ {
 		if n := w.nodes[id]; n != nil {
 			n.Tick()
-			w.pump(id)
+			w.processReady(id)
 		}
 	}
 	for rounds := 0; rounds < 4; rounds++ {
@@ -122,7 +124,7 @@
 }
 
 func (w *network) deliver(m Message) {
-	if w.cut[m.From] || w.cut[m.To] || w.rnd.Intn(100) < w.dropPct {
+	if w.disconnected[m.From] || w.disconnected[m.To] || w.rnd.Intn(100) < w.dropPct {
 		return
 	}
 	if w.rnd.Intn(100) < w.dropPct {
@@ -134,7 +136,7 @@
 		return
 	}
 	n.Step(m)
-	w.pump(m.To)
+	w.processReady(m.To)
 	if m.Type == MsgSnapshot {
 		w.nodes[m.From].ReportSnapshot(m.To)
 	}
@@ -146,7 +148,7 @@
 		if n == nil {
 			continue
 		}
-		if lead, _ := n.Leading(); lead && !w.cut[n.id] {
+		if lead, _ := n.Leading(); lead && !w.disconnected[n.id] {
 			return n
 		}
 	}
@@ -164,8 +166,9 @@
 	t.Fatalf("not reached: %s", what)
 }
 
-// TestSafetyUnderFaults: whatever is lost, cut or restarted, one leader per
-// term, one value per index, in order, and progress once faults end.
+// Under message loss, disconnection, restarts, compaction and transfers there is one
+// leader per term and one value per index, entries are applied in order, and progress
+// resumes once the faults end.
 func TestSafetyUnderFaults(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(7)
 	params.MinSuccessfulTests = 60
@@ -174,19 +177,19 @@
 		w := newNetwork(seed, 3+2*int(seed&1))
 		w.dropPct = 10
 		for i := 0; i < 300 && w.err == nil; i++ {
-			w.disturb(i)
+			w.injectFault(i)
 			w.step()
 		}
-		w.cut = map[uint64]bool{}
+		w.disconnected = map[uint64]bool{}
 		w.dropPct = 0
-		before := len(w.chosen)
+		before := len(w.committed)
 		for i := 0; i < 200; i++ {
 			if l := w.leader(); l != nil && i%10 == 0 {
 				l.Propose([]byte("end"))
 			}
 			w.step()
 		}
-		if w.err == nil && len(w.chosen) <= before {
+		if w.err == nil && len(w.committed) <= before {
 			return "", fmt.Errorf("no progress after the faults ended")
 		}
 		return "", w.err
@@ -194,11 +197,11 @@
 	props.TestingRun(t)
 }
 
-func (w *network) disturb(i int) {
+func (w *network) injectFault(i int) {
 	id := uint64(1 + w.rnd.Intn(len(w.nodes)))
 	switch w.rnd.Intn(20) {
 	case 0:
-		w.cut[id] = !w.cut[id]
+		w.disconnected[id] = !w.disconnected[id]
 	case 1:
 		w.start(id)
 	case 2:
@@ -210,39 +213,39 @@
 	default:
 		if l := w.leader(); l != nil {
 			l.Propose([]byte(fmt.Sprint(i)))
-			w.pump(l.id)
+			w.processReady(l.id)
 		}
 	}
 }
 
-// TestIsolatedLeaderStepsDown: check quorum ends a silent leader, and its
-// return does not disturb the new one (pre-vote).
+// A disconnected leader steps down by its quorum check and, because of pre-vote, does not
+// disrupt the new leader on its return.
 func TestIsolatedLeaderStepsDown(t *testing.T) {
 	w := newNetwork(3, 3)
 	w.until(t, "leader", func() bool { return w.leader() != nil })
 	old := w.leader()
-	w.cut[old.id] = true
+	w.disconnected[old.id] = true
 	old.ReadIndex(77)
 	w.until(t, "old leader steps down", func() bool { return old.role != Leader })
 	if r, ok := w.reads[77]; !ok || r.Ok {
-		t.Fatalf("a read on the isolated leader: %+v, %v; want a refusal", r, ok)
+		t.Fatalf("a read on the isolated leader: %+v, %v; want a failed read", r, ok)
 	}
 	w.until(t, "new leader", func() bool { return w.leader() != nil })
 	term := w.leader().term
 	for i := 0; i < 100; i++ {
 		w.step()
 	}
-	w.cut = map[uint64]bool{}
+	w.disconnected = map[uint64]bool{}
 	for i := 0; i < 100; i++ {
 		w.step()
 	}
 	if got := w.leader().term; got != term {
-		t.Fatalf("the returning replica moved the term from %d to %d", term, got)
+		t.Fatalf("the returning replica changed the term from %d to %d", term, got)
 	}
 }
 
-// TestReplaceLostDisk: a lost member is removed, a learner catches up by
-// snapshot and is promoted, and the group then survives another loss.
+// A lost member is removed, a learner catches up by snapshot and is promoted, and the
+// group then tolerates the loss of another member.
 func TestReplaceLostDisk(t *testing.T) {
 	w := newNetwork(5, 3)
 	w.until(t, "leader", func() bool { return w.leader() != nil })
@@ -274,13 +277,13 @@
 			second = id
 		}
 	}
-	w.cut[second] = true
+	w.disconnected[second] = true
 	before := l.log.commit
 	l.Propose([]byte("after"))
 	w.until(t, "commit after a second loss", func() bool { return l.log.commit > before })
 }
 
-// TestTransferLeadership: the hand-over needs no election timeout.
+// A leadership transfer completes without waiting for an election timeout.
 func TestTransferLeadership(t *testing.T) {
 	w := newNetwork(11, 3)
 	w.until(t, "leader", func() bool { return w.leader() != nil })
@@ -300,9 +303,9 @@
 	}
 }
 
-// All replicas lose power and start again at the same time: they must have a
-// leader well before a usual election timeout.
-func TestGroupThatWasDownElectsEarly(t *testing.T) {
+// When all replicas restart at the same time, they elect a leader within the minimum
+// election timeout.
+func TestRestartedGroupElectsLeaderEarly(t *testing.T) {
 	const electionTicks, voters = 20, 5
 	var members Membership
 	for id := uint64(1); id <= voters; id++ {
@@ -335,5 +338,5 @@
 			}
 		}
 	}
-	t.Fatal("no leader within a usual election timeout")
+	t.Fatal("no leader within the minimum election timeout")
 }
--- a/core/raft/read.go
+++ b/core/raft/read.go
@@ -2,28 +2,28 @@
 
 import "slices"
 
-// ReadIndex asks for a linearizable read point. The answer comes in
-// Ready.Reads with the same context. Reads that arrive while a round is open
-// share the next one, so their number does not multiply the heartbeats.
+// ReadIndex requests a linearizable read. The result is in Ready.Reads with the same
+// context. Reads that arrive during a round share the next one, so that many reads do
+// not cause many heartbeats.
 func (n *Node) ReadIndex(context uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
 	}
-	n.waitingRead = append(n.waitingRead, pendingRead{context: context})
-	if len(n.roundReads) == 0 {
+	n.queuedReads = append(n.queuedReads, pendingRead{context: context})
+	if len(n.confirmingReads) == 0 {
 		n.startRound()
 	}
 	return nil
 }
 
-// startRound broadcasts a heartbeat and lets the waiting reads join it.
+// startRound broadcasts a heartbeat that confirms the queued reads.
 func (n *Node) startRound() {
 	n.round++
 	if n.committedInTerm() {
-		for _, r := range n.waitingRead {
-			n.roundReads = append(n.roundReads, pendingRead{r.context, n.log.commit, n.round})
+		for _, r := range n.queuedReads {
+			n.confirmingReads = append(n.confirmingReads, pendingRead{r.context, n.log.commit, n.round})
 		}
-		n.waitingRead = nil
+		n.queuedReads = nil
 	}
 	for _, m := range n.log.membership().membership.Members {
 		if m.ID == n.id {
@@ -32,10 +32,10 @@
 		commit := min(n.log.commit, n.progress[m.ID].Match)
 		n.send(Message{Type: MsgHeartbeat, To: m.ID, Term: n.term, Commit: commit, Round: n.round})
 	}
-	n.finishRound()
+	n.completeReads()
 }
 
-// ackedRound returns the latest round that a quorum of voters has answered.
+// ackedRound returns the latest round that a quorum of voters has acknowledged.
 func (n *Node) ackedRound() uint64 {
 	var rounds []uint64
 	for _, m := range n.log.membership().membership.Members {
@@ -50,15 +50,15 @@
 	return rounds[len(rounds)-n.quorum()]
 }
 
-// finishRound answers the reads whose round a quorum has answered.
-func (n *Node) finishRound() {
+// completeReads completes the reads whose round a quorum has acknowledged.
+func (n *Node) completeReads() {
 	acked := n.ackedRound()
-	for len(n.roundReads) > 0 && n.roundReads[0].round <= acked {
-		r := n.roundReads[0]
+	for len(n.confirmingReads) > 0 && n.confirmingReads[0].round <= acked {
+		r := n.confirmingReads[0]
 		n.reads = append(n.reads, ReadState{Context: r.context, Index: r.index, Ok: true})
-		n.roundReads = n.roundReads[1:]
+		n.confirmingReads = n.confirmingReads[1:]
 	}
-	if len(n.roundReads) == 0 && len(n.waitingRead) > 0 && n.committedInTerm() {
+	if len(n.confirmingReads) == 0 && len(n.queuedReads) > 0 && n.committedInTerm() {
 		n.startRound()
 	}
 }
--- a/core/raft/replication.go
+++ b/core/raft/replication.go
@@ -7,7 +7,7 @@
 	n.messages = append(n.messages, m)
 }
 
-// Step takes one message from another replica.
+// Step processes a message from another replica.
 func (n *Node) Step(m Message) {
 	switch {
 	case m.Type == MsgPreVote:
@@ -17,7 +17,7 @@
 		n.handleVoteReply(m)
 		return
 	case m.Term > n.term:
-		if m.Type == MsgVote && !m.Transfer && n.leaderHeard() {
+		if m.Type == MsgVote && !m.Transfer && n.followsLiveLeader() {
 			return
 		}
 		leader := None
@@ -26,15 +26,15 @@
 		}
 		n.becomeFollower(m.Term, leader)
 	case m.Term < n.term:
-		n.refuseOldTerm(m)
+		n.rejectOldTerm(m)
 		return
 	}
 	n.stepSameTerm(m)
 }
 
-// leaderHeard protects a working leader from a candidate that was removed or
-// cut off.
-func (n *Node) leaderHeard() bool {
+// followsLiveLeader reports whether this follower has recently heard from its leader. It
+// protects the leader from candidates that were removed or disconnected.
+func (n *Node) followsLiveLeader() bool {
 	return n.role == Follower && n.leader != None && n.elapsed < n.cfg.ElectionTicks
 }
 
@@ -42,8 +42,8 @@
 	return t == MsgAppend || t == MsgHeartbeat || t == MsgSnapshot
 }
 
-// refuseOldTerm tells a stale leader or candidate about the current term.
-func (n *Node) refuseOldTerm(m Message) {
+// rejectOldTerm tells a former leader the current term.
+func (n *Node) rejectOldTerm(m Message) {
 	if fromLeader(m.Type) {
 		n.send(Message{Type: MsgAppendReply, To: m.From, Term: n.term, Reject: true, Hint: n.log.last()})
 	}
@@ -104,7 +104,7 @@
 		return
 	}
 	n.log.restore(meta)
-	n.pending = m.Snapshot
+	n.pendingSnapshot = m.Snapshot
 	n.send(Message{Type: MsgAppendReply, To: m.From, Term: n.term, Index: meta.Index})
 }
 
@@ -136,10 +136,10 @@
 	p.inflight = 0
 	p.ackedRound = max(p.ackedRound, m.Round)
 	p.detectLoss(n.log.last())
-	n.finishRound()
+	n.completeReads()
 }
 
-// replicate sends what followers lack.
+// replicate sends missing entries to the followers.
 func (n *Node) replicate() {
 	for _, m := range n.log.membership().membership.Members {
 		if m.ID != n.id {
@@ -170,8 +170,8 @@
 	}
 }
 
-// ReportSnapshot tells the leader that sending a snapshot to a replica ended.
-// Replication is probed again from what the replica then answers.
+// ReportSnapshot tells the leader that sending a snapshot to a replica has ended,
+// successfully or not. Replication continues by probing after the replica's next reply.
 func (n *Node) ReportSnapshot(id uint64) {
 	if p := n.progress[id]; n.role == Leader && p != nil && p.snapshot != 0 {
 		p.snapshot = 0
@@ -180,7 +180,7 @@
 	}
 }
 
-// ReportUnreachable tells the leader that messages to a replica were lost.
+// ReportUnreachable tells the leader that messages to a replica may have been lost.
 func (n *Node) ReportUnreachable(id uint64) {
 	if p := n.progress[id]; n.role == Leader && p != nil && !p.probing {
 		p.probing = true
@@ -188,8 +188,8 @@
 	}
 }
 
-// maybeCommit advances the commit index to what a quorum has persisted in the
-// current term.
+// maybeCommit advances the commit index to the highest entry of the current term that a
+// quorum has persisted.
 func (n *Node) maybeCommit() {
 	var match []uint64
 	for _, m := range n.log.membership().membership.Members {
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -5,15 +5,14 @@
 	"slices"
 )
 
-// None is the absent replica ID: no vote cast, no leader known.
+// None is the zero replica ID: no vote cast, no leader known.
 const None uint64 = 0
 
-// Role is the part a replica currently plays.
+// Role is a replica's current role.
 type Role uint8
 
-// The roles of the algorithm. A PreCandidate asks for votes without
-// increasing its term, so that a replica that was cut off does not disturb
-// the group when it returns.
+// The roles of the algorithm. A PreCandidate requests votes without increasing its term,
+// so that a replica that was disconnected does not disrupt the group on its return.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -26,16 +25,16 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// EntryType tells what an Entry carries.
+// EntryType is the kind of an Entry.
 type EntryType uint8
 
 // Kinds of log entries.
 const (
-	// EntryCommand carries a command for the replicated state machine.
+	// EntryCommand contains a command for the replicated state machine.
 	EntryCommand EntryType = iota
 	// EntryEmpty is appended by a new leader so that it can commit in its term.
 	EntryEmpty
-	// EntryMembership carries a whole new Membership.
+	// EntryMembership contains a complete new Membership.
 	EntryMembership
 )
 
@@ -48,15 +47,15 @@
 	Membership *Membership `msgpack:"m,omitempty"`
 }
 
-// HardState is what a replica must have persisted before it answers a message.
+// HardState is the state that a replica must persist before it sends messages.
 type HardState struct {
 	Term   uint64 `msgpack:"t"`
 	Vote   uint64 `msgpack:"v"`
 	Commit uint64 `msgpack:"c"`
 }
 
-// Member is one replica of the group. ID is created together with the
-// replica's data folder, so a lost disk returns as another member.
+// Member is one replica of the group. ID is created with the replica's data folder, so a
+// replica that lost its disk returns as a new member.
 type Member struct {
 	ID      uint64 `msgpack:"i"`
 	Address string `msgpack:"a"`
@@ -113,8 +112,7 @@
 	return out
 }
 
-// votersChanged counts the members whose right to vote differs between two
-// memberships.
+// votersChanged counts the members that are voters in only one of two memberships.
 func votersChanged(a, b Membership) int {
 	n := 0
 	for _, x := range a.Members {
@@ -131,21 +129,21 @@
 	return n
 }
 
-// SnapshotMeta identifies a snapshot of the state machine: the last entry it
-// includes and the membership in force there.
+// SnapshotMeta describes a snapshot of the state machine: the last entry it includes and
+// the membership active at that entry.
 type SnapshotMeta struct {
 	Index      uint64     `msgpack:"i"`
 	Term       uint64     `msgpack:"t"`
 	Membership Membership `msgpack:"m"`
 }
 
-// Snapshot is a SnapshotMeta with the state machine's bytes.
+// Snapshot is a serialized state machine with its metadata.
 type Snapshot struct {
 	Meta SnapshotMeta `msgpack:"m"`
 	Data []byte       `msgpack:"d"`
 }
 
-// MessageType tells what a Message asks or answers.
+// MessageType is the kind of a Message.
 type MessageType uint8
 
 // Kinds of messages between replicas.
@@ -158,14 +156,14 @@
 	MsgAppendReply
 	MsgHeartbeat
 	MsgHeartbeatReply
-	// MsgSnapshot leaves the state machine with Snapshot.Data empty; the
-	// sender's driver fills it in from its storage.
+	// MsgSnapshot is emitted with empty Snapshot.Data; the sender's driver fills it in
+	// from its storage.
 	MsgSnapshot
-	// MsgTimeoutNow tells a caught-up follower to start an election at once.
+	// MsgTimeoutNow tells an up-to-date follower to start an election immediately.
 	MsgTimeoutNow
 )
 
-// Message is what replicas exchange.
+// Message is a message between replicas.
 type Message struct {
 	Type    MessageType `msgpack:"y"`
 	From    uint64      `msgpack:"f"`
@@ -176,18 +174,18 @@
 	Entries []Entry     `msgpack:"e,omitempty"`
 	Commit  uint64      `msgpack:"c,omitempty"`
 	Reject  bool        `msgpack:"r,omitempty"`
-	// Transfer marks a vote request that the leader itself has caused.
+	// Transfer marks a vote request of a leadership transfer.
 	Transfer bool `msgpack:"x,omitempty"`
 	// Hint is the follower's last index in a rejected append.
 	Hint uint64 `msgpack:"h,omitempty"`
-	// Round is the heartbeat round that a read index waits for.
+	// Round is the heartbeat round, used to confirm reads.
 	Round    uint64    `msgpack:"n,omitempty"`
 	Snapshot *Snapshot `msgpack:"s,omitempty"`
 }
 
-// ReadState answers a ReadIndex call: once the state machine has applied
-// Index, a read for Context is linearizable. Ok is false when leadership was
-// lost before a quorum confirmed it.
+// ReadState is the result of a ReadIndex call: once the state machine has applied Index,
+// a read for Context is linearizable. Ok is false if leadership was lost before a quorum
+// confirmed it.
 type ReadState struct {
 	Context uint64
 	Index   uint64
@@ -196,12 +194,14 @@
 
 // Errors of Propose, ProposeMembership, ReadIndex and Step.
 var (
-	// ErrNotLeader: only the leader takes proposals and reads.
+	// ErrNotLeader means that this replica is not the leader, which alone accepts
+	// proposals and reads.
 	ErrNotLeader = errors.New("raft: not the leader")
-	// ErrTransferring: leadership is being handed over.
+	// ErrTransferring means that a leadership transfer is in progress.
 	ErrTransferring = errors.New("raft: leadership transfer in progress")
-	// ErrMembershipBusy: an earlier membership change is not committed yet.
+	// ErrMembershipBusy means that an earlier membership change, or the first entry of
+	// the leader's term, is not committed yet.
 	ErrMembershipBusy = errors.New("raft: membership change in progress")
-	// ErrMembershipStep: a change may alter the vote of one member only.
+	// ErrMembershipStep means that the change affects more than one voter.
 	ErrMembershipStep = errors.New("raft: membership change alters more than one voter")
 )
