--- a/core/routing/check.go
+++ b/core/routing/check.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// InvalidError tells what is wrong with a declaration.
+// InvalidError describes why a declaration is invalid.
 type InvalidError struct{ Reason string }
 
-// Error returns the reason.
+// Error returns the reason with a prefix.
 func (e *InvalidError) Error() string { return "invalid declaration: " + e.Reason }
 
 func invalid(format string, args ...any) error {
 	return &InvalidError{fmt.Sprintf(format, args...)}
 }
 
-// Check returns an *InvalidError unless the declaration can be in force. It
-// depends on the declaration alone, so that all replicas agree.
+// Check returns an *InvalidError if the declaration is invalid. The result depends only
+// on the declaration, so that all replicas agree.
 func (d *Declaration) Check() error {
 	if d.Version == 0 {
 		return invalid("the version is missing")
@@ -29,15 +29,15 @@
 }
 
 func (d *Declaration) checkRoutes(pools map[string]bool) error {
-	type place struct{ host, prefix string }
-	seen := make(map[place]string, len(d.Routes))
+	type routeKey struct{ host, prefix string }
+	seen := make(map[routeKey]string, len(d.Routes))
 	for i := range d.Routes {
 		r := &d.Routes[i]
-		at := place{r.Host, r.PathPrefix}
-		if other, taken := seen[at]; taken {
+		key := routeKey{r.Host, r.PathPrefix}
+		if other, taken := seen[key]; taken {
 			return invalid("routes %s and %s have the same host and prefix", other, r.Name)
 		}
-		seen[at] = r.Name
+		seen[key] = r.Name
 		if r.Timeout <= 0 {
 			return invalid("route %s has no timeout", r.Name)
 		}
@@ -66,13 +66,13 @@
 }
 
 func (d *Declaration) checkKeys() error {
-	holder := map[string]string{}
+	owners := map[string]string{}
 	for _, c := range d.Customers {
 		for _, k := range c.Keys {
-			if other, taken := holder[k]; taken && other != c.Name {
+			if other, taken := owners[k]; taken && other != c.Name {
 				return invalid("customers %s and %s share a key", other, c.Name)
 			}
-			holder[k] = c.Name
+			owners[k] = c.Name
 		}
 	}
 	return nil
--- a/core/routing/declaration.go
+++ b/core/routing/declaration.go
@@ -1,9 +1,8 @@
-// Package routing holds what operators declare about the traffic that passes
-// through: routes by host and path prefix, the pools that serve them, the
-// customers and their keys, and what callers may send. A declaration is whole
-// and carries a version; the highest version is in force.
+// Package routing defines the operators' routing declaration: routes by host and path
+// prefix, the pools that serve them, customers and their keys, and limits on requests.
+// A declaration is always complete and has a version; the highest version is active.
 //
-// The package is pure: it checks declarations and answers look-ups.
+// The package performs no I/O: it validates declarations and answers lookups.
 package routing
 
 import (
@@ -15,18 +14,18 @@
 	"cardamomwick.example/core/wire"
 )
 
-// Semantics tells what may be repeated.
+// Semantics is the kind of a route's calls, which determines whether they may be retried.
 type Semantics uint8
 
-// The semantics of a route's calls.
+// Call semantics.
 const (
-	// AtMostOnce calls run once at most; the zero value, so that an unknown kind
-	// of call is never repeated.
+	// AtMostOnce calls run at most once. It is the zero value, so that calls of an
+	// unknown kind are never retried.
 	AtMostOnce Semantics = iota
-	// Idempotent calls may run again.
+	// Idempotent calls may run more than once.
 	Idempotent
-	// Stream calls are answered by a series of events. They run once at most
-	// unless the route is Resumable.
+	// Stream calls are answered with a stream of events. They run at most once unless
+	// the route is Resumable.
 	Stream
 )
 
@@ -41,7 +40,7 @@
 	return "at_most_once"
 }
 
-// Declaration is one version of everything that operators declare.
+// Declaration is one version of the complete routing configuration.
 type Declaration struct {
 	Version   uint64     `msgpack:"v"`
 	Routes    []Route    `msgpack:"r"`
@@ -50,92 +49,91 @@
 	Limits    Limits     `msgpack:"l"`
 }
 
-// Route sends the calls of a host under a path prefix to pools.
+// Route maps the calls of a host under a path prefix to pools.
 type Route struct {
 	Name       string    `msgpack:"n"`
 	Host       string    `msgpack:"h"`
 	PathPrefix string    `msgpack:"x"`
 	Semantics  Semantics `msgpack:"s"`
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum time that a caller waits.
 	Timeout time.Duration `msgpack:"t"`
-	// TargetLatency is the time to the answer, or to a stream's first event,
-	// that the operator wants.
+	// TargetLatency is the target time to the answer, or to a stream's first event.
 	TargetLatency time.Duration `msgpack:"a"`
-	// TargetGap is the longest pause between two events of a stream that is
-	// still on time; zero where none is declared.
+	// TargetGap is the target for the longest gap between two events of a stream; zero
+	// means none.
 	TargetGap time.Duration `msgpack:"g"`
-	// Tier is the rank; 0 is the highest.
+	// Tier is the priority tier; 0 is the highest.
 	Tier int `msgpack:"i"`
-	// Targets share the route's calls by weight.
+	// Targets divide the route's calls by weight.
 	Targets []Target `msgpack:"w"`
-	// MaxAttempts bounds the backend servers that one call is sent to.
+	// MaxAttempts limits the number of backend servers that one call is sent to.
 	MaxAttempts int `msgpack:"m"`
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool `msgpack:"o"`
-	// PromptAware routes carry prompts whose shared parts are cached.
+	// PromptAware routes carry prompts whose common prefixes are cached by engines.
 	PromptAware bool `msgpack:"k"`
-	// Resumable streams may go on at another backend server.
+	// Resumable streams may continue on another backend server.
 	Resumable bool `msgpack:"e"`
 }
 
-// Repeatable reports whether a call may be sent again after it may have run.
+// Repeatable reports whether a call may be retried after it may have run.
 func (r *Route) Repeatable() bool {
 	return r.Semantics == Idempotent || r.Semantics == Stream && r.Resumable
 }
 
-// Limits of a caller's patience with a silent stream, as callers have agreed.
+// Parameters of EventTimeout, as agreed with the callers.
 const (
-	leastSilence  = 2 * time.Second
-	silentTargets = 4
-	silentGaps    = 8
+	minEventTimeout     = 2 * time.Second
+	targetLatencyFactor = 4
+	targetGapFactor     = 8
 )
 
-// EventTimeout is how long callers wait for the next event of a stream, the first one
-// included, before they leave.
+// EventTimeout is how long callers wait for the next event of a stream, including the
+// first one, before they disconnect.
 func (r *Route) EventTimeout() time.Duration {
 	if r.Semantics != Stream {
 		return r.Timeout
 	}
-	return max(leastSilence, silentTargets*r.TargetLatency, silentGaps*r.TargetGap)
+	return max(minEventTimeout, targetLatencyFactor*r.TargetLatency, targetGapFactor*r.TargetGap)
 }
 
-// Target is a pool with its share of a route's calls.
+// Target is a pool with its weight in a route.
 type Target struct {
 	Pool   string `msgpack:"p"`
 	Weight int    `msgpack:"w"`
 }
 
-// Pool is a set of backend servers that answer the same calls.
+// Pool is a set of interchangeable backend servers.
 type Pool struct {
 	Name string `msgpack:"n"`
-	// MaxConnections bounds the connections to one backend server, from all
-	// instances together. Zero means no bound.
+	// MaxConnections limits the connections to one backend server, summed over all
+	// instances. Zero means no limit.
 	MaxConnections int `msgpack:"c"`
 	// Engine is nil for plain services.
 	Engine *Engine `msgpack:"e,omitempty"`
-	// Scaling says what may be ordered for the pool; nil where nothing can.
+	// Scaling defines how the pool may be scaled; nil if it can't be.
 	Scaling *capacity.Scaling `msgpack:"s,omitempty"`
 }
 
 // Engine describes the model engines of a pool.
 type Engine struct {
-	// Slots is how many calls one engine runs at once.
+	// Slots is the number of calls that one engine runs concurrently.
 	Slots int `msgpack:"s"`
-	// KVTokens is the engine's memory for prompts and answers, in tokens.
+	// KVTokens is the capacity of the engine's KV cache in tokens.
 	KVTokens int `msgpack:"k"`
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int `msgpack:"t"`
 }
 
-// Customer is an application with keys.
+// Customer is an application and its API keys.
 type Customer struct {
 	Name string   `msgpack:"n"`
 	Keys []string `msgpack:"k"`
-	// Rank orders customers within a route's tier; 0 is the highest.
+	// Rank is the priority of the customer within a route's tier; 0 is the highest.
 	Rank int `msgpack:"i,omitempty"`
 }
 
-// Limits bound what a caller may send. Zero means the product's default.
+// Limits restrict callers' requests. Zero means the built-in default.
 type Limits struct {
 	MaxHeaderBytes int           `msgpack:"h"`
 	MaxBodyBytes   int64         `msgpack:"b"`
@@ -143,10 +141,10 @@
 	IdleTimeout    time.Duration `msgpack:"i"`
 }
 
-// Encode returns the declaration's bytes.
+// Encode serializes the declaration.
 func (d *Declaration) Encode() ([]byte, error) { return msgpack.Marshal(d) }
 
-// Decode reads a declaration's bytes.
+// Decode parses a serialized declaration.
 func Decode(data []byte) (*Declaration, error) {
 	var d Declaration
 	if err := wire.Decode(data, &d); err != nil {
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -23,23 +23,23 @@
 	}
 }
 
-func TestCheckRefusesWhatCannotBeInForce(t *testing.T) {
+func TestCheckRejectsInvalidDeclarations(t *testing.T) {
 	cases := map[string]func(*Declaration){
 		"no version":      func(d *Declaration) { d.Version = 0 },
 		"unknown pool":    func(d *Declaration) { d.Routes[0].Targets[0].Pool = "none" },
-		"same place":      func(d *Declaration) { d.Routes[1].PathPrefix = "/" },
+		"duplicate route": func(d *Declaration) { d.Routes[1].PathPrefix = "/" },
 		"no weight":       func(d *Declaration) { d.Routes[0].Targets[0].Weight = 0 },
 		"negative weight": func(d *Declaration) { d.Routes[1].Targets[1].Weight = -5 },
 		"no target":       func(d *Declaration) { d.Routes[0].Targets = nil },
 		"no timeout":      func(d *Declaration) { d.Routes[2].Timeout = 0 },
 		"shared key":      func(d *Declaration) { d.Customers[1].Keys = []string{"k1"} },
 	}
-	for name, spoil := range cases {
+	for name, invalidate := range cases {
 		d := declaration()
 		if err := d.Check(); err != nil {
-			t.Fatalf("a good declaration is refused: %v", err)
+			t.Fatalf("a valid declaration is rejected: %v", err)
 		}
-		spoil(d)
+		invalidate(d)
 		var invalid *InvalidError
 		if err := d.Check(); !errors.As(err, &invalid) {
 			t.Errorf("%s: got %v, want an InvalidError", name, err)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestRouteWithTheLongestPrefix(t *testing.T) {
+func TestLongestPrefixWins(t *testing.T) {
 	table := NewTable(declaration())
 	for path, want := range map[string]string{"/": "all", "/x": "all", "/chat": "all", "/chat/": "chat", "/chat/1/2": "chat",
 		"/chat/deep/": "deep", "/chat/deep/x": "deep", "/chat/deepest": "chat"} {
@@ -56,7 +56,7 @@
 		}
 	}
 	if table.Route("b.example", "/") != nil || table.Route("a.example", "") != nil {
-		t.Error("a route was found where none is")
+		t.Error("a route was found for an unknown host or an empty path")
 	}
 }
 
@@ -66,7 +66,7 @@
 		t.Errorf("k2 belongs to %v", c)
 	}
 	if table.Customer("") != nil || table.Customer("k") != nil {
-		t.Error("an unknown key has a customer")
+		t.Error("an unknown key belongs to a customer")
 	}
 }
 
@@ -81,9 +81,9 @@
 	}
 }
 
-// A call of a higher tier must never be preempted for one of a lower tier,
-// whatever the ranks of their customers.
-func TestTierGoesBeforeRank(t *testing.T) {
+// A call of a higher tier has priority over one of a lower tier, regardless of the ranks
+// of their customers.
+func TestTierTakesPrecedenceOverRank(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("tier first", prop.ForAll(func(tierA, tierB, rankA, rankB int) bool {
 		a := (&Route{Tier: tierA}).Priority(&Customer{Rank: rankA})
@@ -93,7 +93,7 @@
 	p.TestingRun(t)
 }
 
-func TestEncodedDeclarationIsTheSame(t *testing.T) {
+func TestEncodingRoundTrip(t *testing.T) {
 	data, err := declaration().Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -104,11 +104,11 @@
 	}
 	again, err := got.Encode()
 	if err != nil || string(again) != string(data) {
-		t.Errorf("decoded and encoded again, the declaration differs: %v", err)
+		t.Errorf("the encoding changed after a round trip: %v", err)
 	}
 }
 
-func TestOnlySomeCallsMayBeRepeated(t *testing.T) {
+func TestRepeatableCalls(t *testing.T) {
 	for _, c := range []struct {
 		route Route
 		want  bool
@@ -119,7 +119,7 @@
 	}
 }
 
-// Only prompts count: plain calls of the same pool may rank below them.
+// Only prompt-aware routes count; other routes to the same pool may have a lower tier.
 func TestLowestTierOfAPoolsPrompts(t *testing.T) {
 	to := func(pool string) []Target { return []Target{{Pool: pool, Weight: 1}} }
 	table := NewTable(&Declaration{Routes: []Route{
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -5,8 +5,7 @@
 	"strings"
 )
 
-// Table answers look-ups in one declaration. It is immutable and safe for
-// concurrent use.
+// Table is an index over one declaration. It is immutable and safe for concurrent use.
 type Table struct {
 	declaration *Declaration
 	byHost      map[string]map[string]*Route
@@ -14,7 +13,7 @@
 	pools       map[string]*Pool
 }
 
-// NewTable indexes a checked declaration, which must not change afterwards.
+// NewTable indexes a valid declaration, which must not be modified afterwards.
 func NewTable(d *Declaration) *Table {
 	t := &Table{declaration: d, byHost: map[string]map[string]*Route{}, byKey: map[string]*Customer{}, pools: map[string]*Pool{}}
 	for i := range d.Routes {
@@ -41,14 +40,14 @@
 // Version returns the declaration's version.
 func (t *Table) Version() uint64 { return t.declaration.Version }
 
-// Limits returns what callers may send.
+// Limits returns the limits on callers' requests.
 func (t *Table) Limits() Limits { return t.declaration.Limits }
 
-// HasCustomers reports whether keys are asked for at all.
+// HasCustomers reports whether any customers, and so any keys, are declared.
 func (t *Table) HasCustomers() bool { return len(t.declaration.Customers) > 0 }
 
-// Route returns the route of the host with the longest prefix of the path, or
-// nil. Prefixes end with a slash, so only these places of the path are tried.
+// Route returns the host's route with the longest matching path prefix, or nil. Prefixes
+// end with a slash, so only prefixes of the path up to a slash are looked up.
 func (t *Table) Route(host, path string) *Route {
 	prefixes := t.byHost[host]
 	if prefixes == nil {
@@ -62,46 +61,47 @@
 	return nil
 }
 
-// Customer returns the customer that holds a key, or nil.
+// Customer returns the customer with the key, or nil.
 func (t *Table) Customer(key string) *Customer { return t.byKey[key] }
 
-// Pools lists the pools. Read only.
+// Pools returns the pools. The slice is read-only.
 func (t *Table) Pools() []Pool { return t.declaration.Pools }
 
 // Pool returns a pool by name, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
 
-// LowestTier returns the rank of the least urgent prompts that a pool gets.
+// LowestTier returns the lowest priority tier (the highest number) of the prompt-aware
+// routes to a pool.
 func (t *Table) LowestTier(pool string) int {
 	lowest := 0
 	for _, r := range t.declaration.Routes {
-		gets := slices.ContainsFunc(r.Targets, func(x Target) bool { return x.Pool == pool })
-		if r.PromptAware && gets {
+		receives := slices.ContainsFunc(r.Targets, func(x Target) bool { return x.Pool == pool })
+		if r.PromptAware && receives {
 			lowest = max(lowest, r.Tier)
 		}
 	}
 	return lowest
 }
 
-// Pick returns the pool for one call; random is uniform in [0, 1).
+// Pick selects the pool for one call by weight; random is uniform in [0, 1).
 func (r *Route) Pick(random float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	at := int(random * float64(total))
+	offset := int(random * float64(total))
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if offset < t.Weight {
 			return t.Pool
 		}
-		at -= t.Weight
+		offset -= t.Weight
 	}
 	return r.Targets[len(r.Targets)-1].Pool
 }
 
-// Priority ranks a call for waiting and preemption: 0 is the most urgent. The
-// route's tier goes first, so that a higher tier is never preempted for a lower
-// one; the customer's rank orders the calls of equal tiers. customer may be nil.
+// Priority returns a call's priority for queueing and preemption; 0 is the highest. The
+// route's tier takes precedence, so that a call of a higher tier is never preempted for
+// one of a lower tier; the customer's rank orders calls within a tier. c may be nil.
 func (r *Route) Priority(c *Customer) int {
 	rank := 0
 	if c != nil {
@@ -111,8 +111,8 @@
 }
 
 const (
-	// ranksPerTier is how many ranks of customers are told apart in one tier.
+	// ranksPerTier is the number of customer ranks distinguished within a tier.
 	ranksPerTier = 3
-	// LowestPriority is the last of the ten levels that engines tell apart.
+	// LowestPriority is the last of the ten priority levels that engines support.
 	LowestPriority = 9
 )
