--- a/core/bundle/attained.go
+++ b/core/bundle/attained.go
@@ -10,8 +10,8 @@
 	return c.PerTokenAttained(first, total, tokens)
 }
 
-// PerTokenAttained reports whether the mean time between tokens was within its
-// target. A call of fewer than two tokens has none.
+// PerTokenAttained reports whether the mean time between tokens met its target. It is
+// true for a call with fewer than two tokens.
 func (c Class) PerTokenAttained(first, total time.Duration, tokens int) bool {
 	return c.PerTokenTarget == 0 || tokens < 2 || (total-first)/time.Duration(tokens-1) <= c.PerTokenTarget.D()
 }
--- a/core/bundle/bundle_test.go
+++ b/core/bundle/bundle_test.go
@@ -33,20 +33,20 @@
 	}
 	again, err := Decode(b.Canonical())
 	if err != nil || again.Digest() != b.Digest() {
-		t.Fatalf("canonical bytes do not lead back: %v", err)
+		t.Fatalf("the canonical encoding does not decode to the same bundle: %v", err)
 	}
 }
 
-func TestEveryErrorAtOnce(t *testing.T) {
+func TestAllErrorsAreReported(t *testing.T) {
 	bad := strings.NewReplacer("version = 3", "version = 0", "tier = 1", "tier = 99", `"400ms"`, `"30s"`, `kind = "model"`, `kind = "x"`,
 		`default_class = "mood"`, `default_class = "none"`).Replace(good)
 	_, err := ParseTOML([]byte(bad))
 	if err == nil {
-		t.Fatal("passed")
+		t.Fatal("an invalid bundle was accepted")
 	}
 	for _, key := range []string{"version", "classes.mood.tier", "classes.mood.deadline", "pools.lumen.kind", "pools.lumen.default_class"} {
 		if !strings.Contains(err.Error(), key+":") {
-			t.Errorf("no problem names %s:\n%v", key, err)
+			t.Errorf("no error for key %s:\n%v", key, err)
 		}
 	}
 	_, err = ParseTOML([]byte(good + "\n[classes.mood2]\nteir = 1\n"))
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestDeltaLeadsToTheBundle(t *testing.T) {
+func TestDeltaProducesTargetBundle(t *testing.T) {
 	a, _ := ParseTOML([]byte(good))
 	b, _ := ParseTOML([]byte(strings.Replace(strings.Replace(good, "hotel", "villa", 1), "version = 3", "version = 4", 1)))
 	d := Diff(a, b)
@@ -84,15 +84,15 @@
 		t.Fatal(err)
 	}
 	if VerifyRead(sign(), ops, now.Add(time.Minute)) == nil {
-		t.Error("an old request passed")
+		t.Error("an expired signature was accepted")
 	}
 	other := sign()
 	other.URL.RawQuery = "after=5"
 	if VerifyRead(other, ops, now) == nil {
-		t.Error("a changed request passed")
+		t.Error("a modified request was accepted")
 	}
 	if r, _ := http.NewRequest(http.MethodGet, "http://x/", nil); VerifyRead(r, ops, now) == nil {
-		t.Error("an unsigned request passed")
+		t.Error("an unsigned request was accepted")
 	}
 }
 
--- a/core/bundle/check.go
+++ b/core/bundle/check.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Bounds on what a bundle may hold.
+// Limits on the content of a bundle.
 const (
 	MaxTier      = 8
 	MaxEntries   = 10000
@@ -22,16 +22,16 @@
 	maxNameBytes = 64
 )
 
-// Problem is one thing wrong with a bundle.
+// Problem is one validation error of a bundle.
 type Problem struct {
 	Key    string
 	Reason string
 }
 
-// Problems lists everything wrong with a bundle.
+// Problems lists all validation errors of a bundle.
 type Problems []Problem
 
-// Error gives one line per problem.
+// Error returns one line per problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, x := range p {
@@ -40,8 +40,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// ParseTOML reads and checks a bundle; unknown keys are errors. Defaults are
-// filled in.
+// ParseTOML parses a bundle, fills in defaults and validates it. Unknown keys are errors.
 func ParseTOML(data []byte) (*Bundle, error) {
 	var b Bundle
 	dec := toml.NewDecoder(bytes.NewReader(data))
@@ -95,7 +94,7 @@
 	}
 }
 
-// Check returns everything wrong with the bundle, sorted by key.
+// Check returns all validation errors of the bundle, sorted by key.
 func (b *Bundle) Check() Problems {
 	c := &checker{}
 	c.require(b.Version > 0, "version", "must be at least 1")
@@ -134,8 +133,8 @@
 	}
 }
 
-func (c *checker) count(key string, n, least int) {
-	c.require(n >= least && n <= MaxEntries, key, fmt.Sprintf("has %d entries; between %d and %d are allowed", n, least, MaxEntries))
+func (c *checker) count(key string, n, minCount int) {
+	c.require(n >= minCount && n <= MaxEntries, key, fmt.Sprintf("has %d entries; between %d and %d are allowed", n, minCount, MaxEntries))
 }
 
 var nameRE = regexp.MustCompile(`^[a-z0-9][a-z0-9_.-]*$`)
@@ -193,7 +192,7 @@
 	c.require(err == nil && len(raw) == 32 && d == strings.ToLower(d), key, "must be a SHA-256 digest in lower-case hex; see cardamomctl keys")
 }
 
-// ParsePublicKey reads an ed25519 public key in base64.
+// ParsePublicKey parses an ed25519 public key in base64.
 func ParsePublicKey(s string) (ed25519.PublicKey, error) {
 	raw, err := base64.StdEncoding.DecodeString(s)
 	if err != nil {
--- a/core/bundle/delta.go
+++ b/core/bundle/delta.go
@@ -6,26 +6,26 @@
 	"sort"
 )
 
-// Delta turns one bundle into another. Its size follows what changed, not the
-// size of the bundle.
+// Delta is the difference between two bundles. Its size depends on the number of changes,
+// not on the size of the bundles.
 type Delta struct {
-	From        string         `msgpack:"f"` // digest of the bundle it applies to
-	To          string         `msgpack:"t"` // digest of the result
-	Version     uint64         `msgpack:"v"`
-	Description string         `msgpack:"d,omitempty"`
-	Classes     edit[Class]    `msgpack:"c"`
-	Pools       edit[Pool]     `msgpack:"p"`
-	Customers   edit[Customer] `msgpack:"u"`
-	Operators   edit[Operator] `msgpack:"o"`
-	WeightStore WeightStore    `msgpack:"w"`
+	From        string             `msgpack:"f"` // digest of the base bundle
+	To          string             `msgpack:"t"` // digest of the result
+	Version     uint64             `msgpack:"v"`
+	Description string             `msgpack:"d,omitempty"`
+	Classes     mapDelta[Class]    `msgpack:"c"`
+	Pools       mapDelta[Pool]     `msgpack:"p"`
+	Customers   mapDelta[Customer] `msgpack:"u"`
+	Operators   mapDelta[Operator] `msgpack:"o"`
+	WeightStore WeightStore        `msgpack:"w"`
 }
 
-type edit[T any] struct {
+type mapDelta[T any] struct {
 	Set    map[string]T `msgpack:"s,omitempty"`
 	Remove []string     `msgpack:"r,omitempty"`
 }
 
-// ErrDeltaMismatch: the delta does not belong to this bundle.
+// ErrDeltaMismatch means that the delta was computed from another bundle.
 var ErrDeltaMismatch = errors.New("bundle: delta does not apply to this bundle")
 
 // Diff returns the delta between two bundles.
@@ -35,8 +35,8 @@
 		Customers: diffMap(from.Customers, to.Customers), Operators: diffMap(from.Operators, to.Operators), WeightStore: to.WeightStore}
 }
 
-func diffMap[T any](from, to map[string]T) edit[T] {
-	var e edit[T]
+func diffMap[T any](from, to map[string]T) mapDelta[T] {
+	var e mapDelta[T]
 	for k, v := range to {
 		if old, ok := from[k]; !ok || !reflect.DeepEqual(old, v) {
 			if e.Set == nil {
@@ -54,7 +54,7 @@
 	return e
 }
 
-// Apply returns the bundle that the delta leads to.
+// Apply returns the bundle that results from applying the delta to b.
 func (d *Delta) Apply(b *Bundle) (*Bundle, error) {
 	if b.Digest() != d.From {
 		return nil, ErrDeltaMismatch
@@ -68,7 +68,7 @@
 	return out, nil
 }
 
-func (e edit[T]) apply(m map[string]T) map[string]T {
+func (e mapDelta[T]) apply(m map[string]T) map[string]T {
 	out := make(map[string]T, len(m))
 	for k, v := range m {
 		out[k] = v
@@ -82,11 +82,11 @@
 	return out
 }
 
-// Lines describes the delta for people, one line per change.
+// Lines returns a readable description of the delta, one line per change.
 func (d *Delta) Lines() []string {
 	var out []string
-	out = append(out, lines("classes", d.Classes)...)
-	out = append(out, lines("pools", d.Pools)...)
-	out = append(out, lines("customers", d.Customers)...)
-	return append(out, lines("operators", d.Operators)...)
+	out = append(out, deltaLines("classes", d.Classes)...)
+	out = append(out, deltaLines("pools", d.Pools)...)
+	out = append(out, deltaLines("customers", d.Customers)...)
+	return append(out, deltaLines("operators", d.Operators)...)
 }
--- a/core/bundle/order.go
+++ b/core/bundle/order.go
@@ -10,37 +10,41 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// OrderKind is what an operator orders.
+// OrderKind is the kind of an operator's order.
 type OrderKind string
 
-// Kinds of orders. A publish signs a bundle off and puts it in force.
+// Order kinds.
 const (
-	OrderPublish     OrderKind = "publish"
+	// OrderPublish publishes a new bundle and activates it.
+	OrderPublish OrderKind = "publish"
+	// OrderRollForward activates a stored bundle version again.
 	OrderRollForward OrderKind = "roll-forward"
-	OrderWithdraw    OrderKind = "withdraw"
-	OrderRetire      OrderKind = "retire"
+	// OrderWithdraw withdraws the active bundle in favor of the previous one.
+	OrderWithdraw OrderKind = "withdraw"
+	// OrderRetire retires a backend server.
+	OrderRetire OrderKind = "retire"
 )
 
-// SignedOrder is an operator's order. The signature covers the kind, the
-// subject and the generation that the operator expects to be in force, so
-// that an order replayed later changes nothing.
+// SignedOrder is an operator's order. The signature covers the kind, the subject and the
+// generation that the operator expects to be active, so that a replayed order has no
+// effect.
 type SignedOrder struct {
 	Kind OrderKind `msgpack:"k" json:"kind"`
-	// Version is the bundle meant by publish, roll-forward and withdraw.
+	// Version is the bundle version that publish, roll-forward or withdraw applies to.
 	Version uint64 `msgpack:"v,omitempty" json:"version,omitempty"`
 	// Digest is the published bundle's digest.
 	Digest string `msgpack:"d,omitempty" json:"digest,omitempty"`
 	// Server is the backend server to retire.
 	Server string `msgpack:"s,omitempty" json:"server,omitempty"`
-	// Expected is the generation in force when the order was signed.
+	// Expected is the active generation when the order was signed.
 	Expected  uint64 `msgpack:"e" json:"expected_generation"`
 	Operator  string `msgpack:"o" json:"operator"`
 	Signature []byte `msgpack:"g" json:"signature"`
-	// Content is the canonical bundle of a publish; Digest covers it.
+	// Content is the canonical encoding of the published bundle; Digest is its digest.
 	Content []byte `msgpack:"c,omitempty" json:"content,omitempty"`
 }
 
-// signedBytes is what the signature covers.
+// signedBytes returns the bytes that the signature covers.
 func (o *SignedOrder) signedBytes() []byte {
 	type fields struct {
 		Domain   string    `msgpack:"x"`
@@ -53,7 +57,7 @@
 	}
 	data, err := msgpack.Marshal(&fields{"cardamomwick order 1", o.Kind, o.Version, o.Digest, o.Server, o.Expected, o.Operator})
 	if err != nil {
-		panic(err) // plain data; encoding to memory can't fail
+		panic(err) // unreachable: the struct has only encodable fields
 	}
 	return data
 }
@@ -64,13 +68,13 @@
 	o.Signature = ed25519.Sign(key, o.signedBytes())
 }
 
-// ID identifies the order over resends: the digest of its signed bytes.
+// ID identifies the order across retries. It is a digest of the signed bytes.
 func (o *SignedOrder) ID() string {
 	sum := sha256.Sum256(o.signedBytes())
 	return hex.EncodeToString(sum[:16])
 }
 
-// Verify checks the signature against the operators' keys.
+// Verify verifies the signature with the operator's key.
 func (o *SignedOrder) Verify(operators map[string]Operator) error {
 	op, ok := operators[o.Operator]
 	if !ok {
@@ -86,7 +90,7 @@
 	return nil
 }
 
-func lines[T any](section string, e edit[T]) []string {
+func deltaLines[T any](section string, e mapDelta[T]) []string {
 	var out []string
 	for k := range e.Set {
 		out = append(out, "set    "+section+"."+k)
--- a/core/bundle/read.go
+++ b/core/bundle/read.go
@@ -9,30 +9,31 @@
 	"time"
 )
 
-// Headers of an operator's signed read.
+// Headers of a signed read request.
 const (
 	HeaderOperator  = "X-Operator"
 	HeaderTimestamp = "X-Timestamp"
 	HeaderSignature = "X-Signature"
 )
 
-// MaxReadSkew is how far a signed read's time may be from the daemon's clock.
+// MaxReadSkew is the maximum difference between a signed read's timestamp and the
+// daemon's clock.
 const MaxReadSkew = 30 * time.Second
 
-func readBytes(method, uri, stamp string) []byte {
+func signedReadBytes(method, uri, stamp string) []byte {
 	return []byte("cardamomwick read 1\n" + method + " " + uri + "\n" + stamp)
 }
 
-// SignRead signs a request that changes nothing.
+// SignRead signs a read-only request.
 func SignRead(r *http.Request, operator string, key ed25519.PrivateKey, now time.Time) {
 	stamp := strconv.FormatInt(now.UnixMilli(), 10)
 	r.Header.Set(HeaderOperator, operator)
 	r.Header.Set(HeaderTimestamp, stamp)
-	sig := ed25519.Sign(key, readBytes(r.Method, r.URL.RequestURI(), stamp))
+	sig := ed25519.Sign(key, signedReadBytes(r.Method, r.URL.RequestURI(), stamp))
 	r.Header.Set(HeaderSignature, base64.StdEncoding.EncodeToString(sig))
 }
 
-// VerifyRead checks a request signed by SignRead.
+// VerifyRead verifies a request signed by SignRead.
 func VerifyRead(r *http.Request, operators map[string]Operator, now time.Time) error {
 	stamp := r.Header.Get(HeaderTimestamp)
 	ms, err := strconv.ParseInt(stamp, 10, 64)
@@ -51,7 +52,7 @@
 		return err
 	}
 	sig, err := base64.StdEncoding.DecodeString(r.Header.Get(HeaderSignature))
-	if err != nil || !ed25519.Verify(key, readBytes(r.Method, r.URL.RequestURI(), stamp), sig) {
+	if err != nil || !ed25519.Verify(key, signedReadBytes(r.Method, r.URL.RequestURI(), stamp), sig) {
 		return fmt.Errorf("the signature does not fit the request")
 	}
 	return nil
