--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,7 +1,6 @@
-// Package placement decides which engine is to load what next, so that pools
-// come to the version that the bundle names while they go on serving: one
-// engine of a pool at a time. It is pure; the daemon holds the lease, records
-// the orders and sends them.
+// Package placement plans rolling updates of engines to the model version and adapters in
+// the bundle. It updates one engine of a pool at a time, so that the pool keeps serving.
+// It performs no I/O: the daemon holds the lease and records and sends the orders.
 package placement
 
 import (
@@ -13,11 +12,11 @@
 	"cardamomwick.example/core/state"
 )
 
-// OrderTimeout is how long an engine may take to load before another order is
-// given in its pool.
+// OrderTimeout is how long an engine may take to load before the next order in its pool
+// is issued.
 const OrderTimeout = 2 * time.Minute
 
-// Engine is one announced engine.
+// Engine is the state of one announced engine.
 type Engine struct {
 	ID       string
 	Pool     string
@@ -27,22 +26,21 @@
 	Retired  bool
 }
 
-// Planner remembers what it has ordered. Not safe for concurrent use.
+// Planner issues engine orders and tracks the pending ones. Not safe for concurrent use.
 type Planner struct {
-	// open maps pools to the order that is being carried out.
-	open map[string]openOrder
+	// open maps pools to the order that is being executed.
+	pending map[string]pendingOrder
 }
 
-type openOrder struct {
+type pendingOrder struct {
 	server string
 	since  time.Time
 }
 
-// NewPlanner returns a planner without open orders, as a new leaseholder needs
-// it.
-func NewPlanner() *Planner { return &Planner{open: map[string]openOrder{}} }
+// NewPlanner returns a planner without pending orders, for a new lease holder.
+func NewPlanner() *Planner { return &Planner{pending: map[string]pendingOrder{}} }
 
-// Next returns the orders to give now, at most one per pool, sorted by pool.
+// Next returns the orders to send now, at most one per pool, sorted by pool.
 func (p *Planner) Next(now time.Time, b *bundle.Bundle, engines []Engine) []state.EngineOrder {
 	byPool := map[string][]Engine{}
 	for _, e := range engines {
@@ -52,10 +50,10 @@
 	}
 	var out []state.EngineOrder
 	for name, pool := range b.Pools {
-		if pool.EngineVersion == "" || p.busy(now, name, pool, byPool[name]) {
+		if pool.EngineVersion == "" || p.hasPendingOrder(now, name, pool, byPool[name]) {
 			continue
 		}
-		if e, ok := firstWrong(pool, byPool[name]); ok {
+		if e, ok := firstOutdated(pool, byPool[name]); ok {
 			out = append(out, state.EngineOrder{Server: e.ID, Pool: name, Version: pool.EngineVersion, Adapters: pool.Adapters})
 		}
 	}
@@ -63,40 +61,40 @@
 	return out
 }
 
-// OrderSent notes that an order was sent.
+// OrderSent records that an order was sent.
 func (p *Planner) OrderSent(now time.Time, o *state.EngineOrder) {
-	p.open[o.Pool] = openOrder{o.Server, now}
+	p.pending[o.Pool] = pendingOrder{o.Server, now}
 }
 
-// busy reports whether an order of a pool is still being carried out.
-func (p *Planner) busy(now time.Time, name string, pool bundle.Pool, engines []Engine) bool {
-	o, ok := p.open[name]
+// hasPendingOrder reports whether an order of a pool is still being executed.
+func (p *Planner) hasPendingOrder(now time.Time, name string, pool bundle.Pool, engines []Engine) bool {
+	o, ok := p.pending[name]
 	if !ok {
 		return false
 	}
 	for _, e := range engines {
-		if e.ID == o.server && right(pool, e) {
-			delete(p.open, name)
+		if e.ID == o.server && upToDate(pool, e) {
+			delete(p.pending, name)
 			return false
 		}
 	}
 	if now.Sub(o.since) > OrderTimeout {
-		delete(p.open, name)
+		delete(p.pending, name)
 		return false
 	}
 	return true
 }
 
-func right(pool bundle.Pool, e Engine) bool {
+func upToDate(pool bundle.Pool, e Engine) bool {
 	return e.Version == pool.EngineVersion && slices.Equal(e.Adapters, pool.Adapters)
 }
 
-// firstWrong returns the first usable engine, by ID, that has something else
-// loaded.
-func firstWrong(pool bundle.Pool, engines []Engine) (Engine, bool) {
+// firstOutdated returns the first usable engine, by ID, with another version or other
+// adapters loaded.
+func firstOutdated(pool bundle.Pool, engines []Engine) (Engine, bool) {
 	sort.Slice(engines, func(i, j int) bool { return engines[i].ID < engines[j].ID })
 	for _, e := range engines {
-		if e.Usable && !right(pool, e) {
+		if e.Usable && !upToDate(pool, e) {
 			return e, true
 		}
 	}
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -8,10 +8,9 @@
 	"cardamomwick.example/core/bundle"
 )
 
-// TestRollsOneAtATime: a pool of five engines comes to its version one engine
-// after the other; retired and unusable ones are left alone, and an engine that
-// never finishes holds the others up for OrderTimeout only.
-func TestRollsOneAtATime(t *testing.T) {
+// A pool of five engines is updated one engine at a time. Retired and unusable engines are
+// skipped, and an engine that never finishes delays the others only for OrderTimeout.
+func TestUpdatesOneEngineAtATime(t *testing.T) {
 	b := &bundle.Bundle{Pools: map[string]bundle.Pool{"m": {EngineVersion: "v2", Adapters: []string{"warm"}}, "free": {}}}
 	var engines []Engine
 	for n := range 5 {
@@ -35,7 +34,7 @@
 		order = append(order, list[0].Server)
 		p.OrderSent(now, &list[0])
 		if again := p.Next(now.Add(time.Second), b, engines); len(again) != 0 {
-			t.Fatalf("a second order while the first is carried out: %+v", again)
+			t.Fatalf("a second order while the first is pending: %+v", again)
 		}
 		for i := range engines {
 			if engines[i].ID == list[0].Server {
@@ -50,6 +49,6 @@
 	list := p.Next(now, b, engines)
 	p.OrderSent(now, &list[0])
 	if len(p.Next(now.Add(OrderTimeout/2), b, engines)) != 0 || len(p.Next(now.Add(OrderTimeout+time.Second), b, engines)) != 1 {
-		t.Fatal("an engine that never finishes is not given up in time")
+		t.Fatal("the order of an engine that never finishes did not expire after OrderTimeout")
 	}
 }
