--- a/core/crashserver/crashserver.go
+++ b/core/crashserver/crashserver.go
@@ -1,5 +1,5 @@
-// Package crashserver is an HTTP server that can end as a process that crashes does,
-// for the stand-ins of backend servers in tests, demo and soak. It is no part of the
+// Package crashserver provides an HTTP server that can simulate a process crash and
+// restart, for fake backend servers in tests, demos and soak tests. It is not part of the
 // product.
 package crashserver
 
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// CrashMarker in a body makes the stand-ins of backend servers crash when they begin to
-// run the call.
+// CrashMarker in a request body makes a fake backend server crash when it starts to run
+// the call.
 const CrashMarker = "ends the server that runs it"
 
-// TriggersCrash reports whether a body makes a stand-in crash.
+// TriggersCrash reports whether a request body contains CrashMarker.
 func TriggersCrash(body []byte) bool { return bytes.Contains(body, []byte(CrashMarker)) }
 
-// Server serves at one address until it is stopped. Safe for concurrent use.
+// Server serves at one address, across simulated crashes, until it is stopped. Safe for
+// concurrent use.
 type Server struct {
 	address string
 	handler http.Handler
@@ -27,12 +28,12 @@
 	mu      sync.Mutex
 	current *http.Server
 	stopped bool
-	// started is when the present or last start began.
+	// started is the time of the latest start.
 	started time.Time
 	crashes []time.Time
 }
 
-// Start listens at an address; a port of 0 means any free one.
+// Start starts a server at an address. Port 0 means any free port.
 func Start(address string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -43,42 +44,39 @@
 	return s, nil
 }
 
-// Address is where the server listens, or will again.
+// Address returns the server's address, which stays the same across crashes.
 func (s *Server) Address() string { return s.address }
 
-// serve takes calls from a listener. Call with the lock held, or before others know
-// the server.
+// serve serves a listener. Call it with the lock held, or before the server is shared.
 func (s *Server) serve(l net.Listener) {
 	current := &http.Server{Handler: s.handler}
 	s.current, s.started = current, time.Now()
-	go func() { _ = current.Serve(l) }() // it ends with Crash or Stop
+	go func() { _ = current.Serve(l) }() // ends on Crash or Stop
 }
 
-// Crashes lists when the server crashed.
+// Crashes returns the times of the crashes.
 func (s *Server) Crashes() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.crashes)
 }
 
-// Down reports whether the server has crashed and does not listen again yet, or has
-// been stopped.
+// Down reports whether the server is stopped, or has crashed and not restarted yet.
 func (s *Server) Down() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current == nil
 }
 
-// Started is when the present start of the server began, or the last one while it is
-// down.
+// Started returns the time of the server's latest start.
 func (s *Server) Started() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started
 }
 
-// Crash breaks all connections and refuses new ones. After a time the server listens
-// again; not when it is stopped before.
+// Crash closes all connections and the listener. The server listens again after the pause
+// unless it is stopped before.
 func (s *Server) Crash(pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,13 +86,13 @@
 	s.current.Close()
 	s.current = nil
 	s.crashes = append(s.crashes, time.Now())
-	time.AfterFunc(pause, s.revive)
+	time.AfterFunc(pause, s.restart)
 }
 
-// listenPause passes between two tries to get the address back.
-const listenPause = 20 * time.Millisecond
+// relistenInterval is the delay between two attempts to listen at the address again.
+const relistenInterval = 20 * time.Millisecond
 
-func (s *Server) revive() {
+func (s *Server) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped {
@@ -102,7 +100,7 @@
 	}
 	l, err := net.Listen("tcp", s.address)
 	if err != nil {
-		time.AfterFunc(listenPause, s.revive)
+		time.AfterFunc(relistenInterval, s.restart)
 		return
 	}
 	s.serve(l)
