--- a/core/bundle/bundle_test.go
+++ b/core/bundle/bundle_test.go
@@ -64,10 +64,10 @@
 		t.Fatalf("delta: %v", err)
 	}
 	if _, err := d.Apply(b); err != ErrDeltaMismatch {
-		t.Fatalf("delta on another bundle: %v", err)
+		t.Fatalf("delta applied to another bundle: %v, want ErrDeltaMismatch", err)
 	}
 	if lines := d.Lines(); len(lines) != 2 {
-		t.Fatalf("lines %q", lines)
+		t.Fatalf("lines are %q, want 2", lines)
 	}
 }
 
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -29,7 +29,7 @@
 			break
 		}
 		if len(list) != 1 || list[0].Version != "v2" {
-			t.Fatalf("orders %+v", list)
+			t.Fatalf("orders are %+v, want one for version v2", list)
 		}
 		order = append(order, list[0].Server)
 		p.OrderSent(now, &list[0])
@@ -43,7 +43,7 @@
 		}
 	}
 	if fmt.Sprint(order) != "[e0 e3 e4]" {
-		t.Fatalf("ordered %v", order)
+		t.Fatalf("engines were updated in order %v, want [e0 e3 e4]", order)
 	}
 	engines[2].Usable = true
 	list := p.Next(now, b, engines)
--- a/core/state/calls.go
+++ b/core/state/calls.go
@@ -252,5 +252,5 @@
 	return out
 }
 
-// Calls returns the number of call records.
-func (m *Machine) Calls() int { return len(m.calls.records) }
+// CallCount returns the number of call records.
+func (m *Machine) CallCount() int { return len(m.calls.records) }
--- a/core/state/quarantine_test.go
+++ b/core/state/quarantine_test.go
@@ -19,12 +19,12 @@
 	rule(m, 2000, "q", quarantine.Held, 2)
 	rule(m, 3000, "q", quarantine.Suspected, 1)
 	if list := m.Rulings(); len(list) != 1 || list[0].DecidedMillis != 1000 || m.RulingsRevision() != 1 {
-		t.Errorf("got %+v, revision %d", list, m.RulingsRevision())
+		t.Errorf("rulings are %+v at revision %d; want the one of 1000 at revision 1", list, m.RulingsRevision())
 	}
 	rule(m, 4000, "q", quarantine.Cleared, 3)
 	rule(m, 5000, "q", quarantine.Held, 2)
 	if list := m.Rulings(); len(list) != 1 || list[0].Ruling.Standing != quarantine.Cleared {
-		t.Errorf("got %+v", list)
+		t.Errorf("rulings are %+v, want one with standing Cleared", list)
 	}
 }
 
@@ -38,16 +38,16 @@
 	}
 	got := restored.Rulings()[0].RulingAt(1000 + quarantine.FirstHold.Milliseconds()/2)
 	if got.Age != quarantine.FirstHold/2 || got.Standing != quarantine.Held {
-		t.Errorf("got %+v", got)
+		t.Errorf("restored ruling is %+v, want Held with age %v", got, quarantine.FirstHold/2)
 	}
 	rule(restored, time.Hour.Milliseconds(), "other", quarantine.Held, 1)
 	if n := len(restored.Rulings()); n != 1 {
-		t.Errorf("%d rulings are stored", n)
+		t.Errorf("%d rulings are stored, want 1 because the other has expired", n)
 	}
 	for i := range 2 * maxRulings {
 		rule(restored, time.Hour.Milliseconds(), fmt.Sprint(i), quarantine.Held, 1)
 	}
 	if n := len(restored.Rulings()); n != maxRulings {
-		t.Errorf("%d rulings are stored", n)
+		t.Errorf("%d rulings are stored, want %d", n, maxRulings)
 	}
 }
--- a/core/state/routing_test.go
+++ b/core/state/routing_test.go
@@ -21,7 +21,7 @@
 		want    string
 	}{{2, "two", "two"}, {1, "one", "two"}, {2, "other two", "two"}, {9, "nine", "nine"}, {2, "two", "nine"}} {
 		if r := declare(m, step.version, step.content); r.Code != CodeOK {
-			t.Fatalf("version %d was refused: %v", step.version, r)
+			t.Fatalf("declaration version %d was rejected: %v", step.version, r)
 		}
 		if got := string(m.Routing().Declared.Source); got != step.want {
 			t.Errorf("after version %d: %q is active, want %q", step.version, got, step.want)
@@ -53,7 +53,7 @@
 		m.Apply((&Command{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "a", Phase: p}}).Encode())
 	}
 	if got := m.Routing().Withdrawals; len(got) != 1 || got[0].Phase != fleet.Departed {
-		t.Errorf("withdrawals are %+v", got)
+		t.Errorf("withdrawals are %+v, want one with phase Departed", got)
 	}
 }
 
@@ -69,7 +69,7 @@
 	register(200)
 	register(100)
 	if got := m.Routing(); len(got.Servers) != 1 || got.Servers[0].Born != 200 {
-		t.Fatalf("registered are %+v", got.Servers)
+		t.Fatalf("registered servers are %+v, want only the start of 200", got.Servers)
 	}
 	m.Apply((&Command{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "a@200", Phase: fleet.Departed}}).Encode())
 	other := New()
@@ -81,7 +81,7 @@
 	register(200)
 	got := m.Routing()
 	if len(got.Servers) != 0 || len(got.Starts) != 1 || got.Starts[0] != (fleet.Start{Name: "a", Born: 200}) {
-		t.Errorf("after its departure: servers %+v, starts %+v", got.Servers, got.Starts)
+		t.Errorf("after the departure: servers %+v, starts %+v; want no server and only the start of 200", got.Servers, got.Starts)
 	}
 	register(300)
 	if got := m.Routing(); len(got.Servers) != 1 || got.Servers[0].Born != 300 {
@@ -94,7 +94,7 @@
 	m.Apply((&Command{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "c", Phase: fleet.Departed}}).Encode())
 	m.Apply((&Command{Type: CommandRegister, Servers: []fleet.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "a"}}}).Encode())
 	if got := m.Routing().Servers; len(got) != 2 || got[0].ID != "a" || got[1].ID != "b" {
-		t.Errorf("registered are %+v", got)
+		t.Errorf("registered servers are %+v, want a and b", got)
 	}
 }
 
--- a/core/state/state_test.go
+++ b/core/state/state_test.go
@@ -190,8 +190,8 @@
 	claim(m, CommandClaim, "k", "a", 1_000_000, false, nil)
 	late := int64(1_000_000) + Retention.Milliseconds() + 10*bucketMillis
 	claim(m, CommandClaim, "other", "x", late, false, nil)
-	if m.Calls() != 0 {
-		t.Fatalf("%d calls stored past the retention period", m.Calls())
+	if m.CallCount() != 0 {
+		t.Fatalf("%d calls stored past the retention period", m.CallCount())
 	}
 	if r := claim(m, CommandClaim, "k", "b", 1_000_000, false, nil); r.Code != CodeExpired {
 		t.Fatalf("a pruned key: %+v; want CodeExpired even from a leader whose clock is behind", r)
--- a/core/state/usage_size_test.go
+++ b/core/state/usage_size_test.go
@@ -82,7 +82,7 @@
 		t.Logf("%d customers: %.1f KB/s into the log, %.2f%% of a core to apply, snapshot of %d KB with %d windows",
 			customers, perSecond/1024, 100*share, snapshot/1024, len(m.Duties().Usage.Closed))
 		if perSecond > maxLogBytes || share > maxApplyShare || snapshot > maxSnapshotBytes {
-			t.Errorf("over a limit: %d log bytes per second, CPU share %.2f, snapshot of %d bytes", maxLogBytes, maxApplyShare, maxSnapshotBytes)
+			t.Errorf("want at most %d log bytes per second, a CPU share of %.2f and a snapshot of %d bytes", maxLogBytes, maxApplyShare, maxSnapshotBytes)
 		}
 	}
 }
--- a/daemon/replica/serve.go
+++ b/daemon/replica/serve.go
@@ -88,7 +88,7 @@
 	st := r.node.Status()
 	cfg := r.machine.Config()
 	out := api.GroupStatus{Group: r.store.Identity().Group, Term: st.Term, Commit: st.Commit, First: st.First,
-		Calls: r.machine.Calls(), Generation: cfg.Generation, Versions: r.machine.Versions(), Retired: cfg.Retired}
+		Calls: r.machine.CallCount(), Generation: cfg.Generation, Versions: r.machine.Versions(), Retired: cfg.Retired}
 	if cfg.Bundle != nil {
 		out.Version = cfg.Bundle.Version
 		out.Digest = cfg.Bundle.Digest()
