--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -8,10 +8,9 @@
 	"cardamomwick.example/core/bundle"
 )
 
-// TestRollsOneAtATime: a pool of five engines comes to its version one engine
-// after the other; retired and unusable ones are left alone, and an engine that
-// never finishes holds the others up for OrderTimeout only.
-func TestRollsOneAtATime(t *testing.T) {
+// A pool of five engines is updated one engine at a time. Retired and unusable engines are
+// skipped, and an engine that never finishes delays the others only for OrderTimeout.
+func TestUpdatesOneEngineAtATime(t *testing.T) {
 	b := &bundle.Bundle{Pools: map[string]bundle.Pool{"m": {EngineVersion: "v2", Adapters: []string{"warm"}}, "free": {}}}
 	var engines []Engine
 	for n := range 5 {
@@ -30,12 +29,12 @@
 			break
 		}
 		if len(list) != 1 || list[0].Version != "v2" {
-			t.Fatalf("orders %+v", list)
+			t.Fatalf("orders are %+v, want one for version v2", list)
 		}
 		order = append(order, list[0].Server)
-		p.Given(now, &list[0])
+		p.OrderSent(now, &list[0])
 		if again := p.Next(now.Add(time.Second), b, engines); len(again) != 0 {
-			t.Fatalf("a second order while the first is carried out: %+v", again)
+			t.Fatalf("a second order while the first is pending: %+v", again)
 		}
 		for i := range engines {
 			if engines[i].ID == list[0].Server {
@@ -44,12 +43,12 @@
 		}
 	}
 	if fmt.Sprint(order) != "[e0 e3 e4]" {
-		t.Fatalf("ordered %v", order)
+		t.Fatalf("engines were updated in order %v, want [e0 e3 e4]", order)
 	}
 	engines[2].Usable = true
 	list := p.Next(now, b, engines)
-	p.Given(now, &list[0])
+	p.OrderSent(now, &list[0])
 	if len(p.Next(now.Add(OrderTimeout/2), b, engines)) != 0 || len(p.Next(now.Add(OrderTimeout+time.Second), b, engines)) != 1 {
-		t.Fatal("an engine that never finishes is not given up in time")
+		t.Fatal("the order of an engine that never finishes did not expire after OrderTimeout")
 	}
 }
--- a/core/state/routing_test.go
+++ b/core/state/routing_test.go
@@ -13,7 +13,7 @@
 	return m.Apply(c.Encode())
 }
 
-func TestHighestDeclarationIsInForceAndStays(t *testing.T) {
+func TestHighestDeclarationVersionWins(t *testing.T) {
 	m := New()
 	for _, step := range []struct {
 		version uint64
@@ -21,15 +21,15 @@
 		want    string
 	}{{2, "two", "two"}, {1, "one", "two"}, {2, "other two", "two"}, {9, "nine", "nine"}, {2, "two", "nine"}} {
 		if r := declare(m, step.version, step.content); r.Code != CodeOK {
-			t.Fatalf("version %d was refused: %v", step.version, r)
+			t.Fatalf("declaration version %d was rejected: %v", step.version, r)
 		}
-		if got := string(m.Routing().Held.Source); got != step.want {
-			t.Errorf("after version %d: %q is in force, want %q", step.version, got, step.want)
+		if got := string(m.Routing().Declared.Source); got != step.want {
+			t.Errorf("after version %d: %q is active, want %q", step.version, got, step.want)
 		}
 	}
 }
 
-func TestRoutingSurvivesASnapshot(t *testing.T) {
+func TestRoutingSurvivesSnapshot(t *testing.T) {
 	m := New()
 	declare(m, 4, "four")
 	apply := func(c Command) { m.Apply(c.Encode()) }
@@ -42,24 +42,24 @@
 		t.Fatal(err)
 	}
 	got := other.Routing()
-	if got.Held.Version != 4 || len(got.Servers) != 1 || got.Servers[0].ID != "b" || len(got.Withdrawals) != 1 || got.Revision != m.RoutingRevision() {
+	if got.Declared.Version != 4 || len(got.Servers) != 1 || got.Servers[0].ID != "b" || len(got.Withdrawals) != 1 || got.Revision != m.RoutingRevision() {
 		t.Errorf("after the snapshot: %+v", got)
 	}
 }
 
-func TestPhaseOfAServerNeverGoesBack(t *testing.T) {
+func TestServerPhaseNeverGoesBack(t *testing.T) {
 	m := New()
 	for _, p := range []fleet.Phase{fleet.Departed, fleet.Draining} {
 		m.Apply((&Command{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "a", Phase: p}}).Encode())
 	}
 	if got := m.Routing().Withdrawals; len(got) != 1 || got[0].Phase != fleet.Departed {
-		t.Errorf("withdrawals are %+v", got)
+		t.Errorf("withdrawals are %+v, want one with phase Departed", got)
 	}
 }
 
-// The newest start of a server outlives its departure, a snapshot and the words of
-// former starts.
-func TestNewestStartIsRemembered(t *testing.T) {
+// The newest start of a server is kept after its departure, across a snapshot, and when
+// announcements of older starts arrive late.
+func TestNewestStartIsKept(t *testing.T) {
 	m := New()
 	register := func(born int64) {
 		s := fleet.Server{ID: fleet.StartID(fleet.Start{Name: "a", Born: born}), Name: "a", Born: born, Pool: "p"}
@@ -69,7 +69,7 @@
 	register(200)
 	register(100)
 	if got := m.Routing(); len(got.Servers) != 1 || got.Servers[0].Born != 200 {
-		t.Fatalf("registered are %+v", got.Servers)
+		t.Fatalf("registered servers are %+v, want only the start of 200", got.Servers)
 	}
 	m.Apply((&Command{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "a@200", Phase: fleet.Departed}}).Encode())
 	other := New()
@@ -81,7 +81,7 @@
 	register(200)
 	got := m.Routing()
 	if len(got.Servers) != 0 || len(got.Starts) != 1 || got.Starts[0] != (fleet.Start{Name: "a", Born: 200}) {
-		t.Errorf("after its departure: servers %+v, starts %+v", got.Servers, got.Starts)
+		t.Errorf("after the departure: servers %+v, starts %+v; want no server and only the start of 200", got.Servers, got.Starts)
 	}
 	register(300)
 	if got := m.Routing(); len(got.Servers) != 1 || got.Servers[0].Born != 300 {
@@ -94,12 +94,11 @@
 	m.Apply((&Command{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "c", Phase: fleet.Departed}}).Encode())
 	m.Apply((&Command{Type: CommandRegister, Servers: []fleet.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "a"}}}).Encode())
 	if got := m.Routing().Servers; len(got) != 2 || got[0].ID != "a" || got[1].ID != "b" {
-		t.Errorf("registered are %+v", got)
+		t.Errorf("registered servers are %+v, want a and b", got)
 	}
 }
 
-// Thousands of servers that were lost together are withdrawn together; the outcome is that of
-// one after the other.
+// Withdrawing servers in one batch gives the same state as withdrawing them one by one.
 func TestServersAreWithdrawnTogether(t *testing.T) {
 	var register, together Command
 	register.Type, together.Type = CommandRegister, CommandWithdraw
--- a/daemon/replica/serve.go
+++ b/daemon/replica/serve.go
@@ -88,7 +88,7 @@
 	st := r.node.Status()
 	cfg := r.machine.Config()
 	out := api.GroupStatus{Group: r.store.Identity().Group, Term: st.Term, Commit: st.Commit, First: st.First,
-		Calls: r.machine.Calls(), Generation: cfg.Generation, Versions: r.machine.Versions(), Retired: cfg.Retired}
+		Calls: r.machine.CallCount(), Generation: cfg.Generation, Versions: r.machine.Versions(), Retired: cfg.Retired}
 	if cfg.Bundle != nil {
 		out.Version = cfg.Bundle.Version
 		out.Digest = cfg.Bundle.Digest()
@@ -144,7 +144,7 @@
 func (r *Replica) handleSource(ctx context.Context, _ string, _ []byte) (any, error) {
 	return readThen(ctx, r,
 		func(d redirect) sourceReply { return sourceReply{redirect: d} },
-		func() sourceReply { return sourceReply{Source: r.machine.Routing().Held.Source} })
+		func() sourceReply { return sourceReply{Source: r.machine.Routing().Declared.Source} })
 }
 
 // handleJoin admits a replica with a new identity as a learner, if the
