--- a/core/dispatch/pool_test.go
+++ b/core/dispatch/pool_test.go
@@ -70,7 +70,7 @@
 	last := ticket("summary", "big")
 	p.Enqueue(t0, last)
 	if r := p.Advance(t0).Refusals; len(r) != 1 || r[0].ID != last.ID || r[0].Reason != ReasonQueueFull {
-		t.Fatalf("refusals %v, want the newcomer of the lower tier", r)
+		t.Fatalf("refusals %v, want the new ticket of the lower tier", r)
 	}
 	p = testPool(0, 0)
 	for range maxWaiting {
@@ -78,13 +78,13 @@
 	}
 	p.Enqueue(t0, ticket("top", "big"))
 	a := p.Advance(t0)
-	if len(a.Refusals) != 1 || p.classes["top"].count != 1 || p.classes["summary"].count != maxWaiting-1 {
+	if len(a.Refusals) != 1 || p.classes["top"].queued != 1 || p.classes["summary"].queued != maxWaiting-1 {
 		t.Fatalf("%d refusals, want one of the lowest tier", len(a.Refusals))
 	}
 }
 
-// TestEveryClassRuns: under a lasting overload of the top tiers, the lower
-// ones get about their guaranteed share and no less than half of it.
+// Under a lasting overload of the top tiers, each lower class gets at least half of
+// its guaranteed share.
 func TestEveryClassRuns(t *testing.T) {
 	p := testPool(2, 10)
 	now := t0
@@ -108,7 +108,7 @@
 			}
 		}
 		for _, g := range p.Advance(now).Grants {
-			granted[p.running[g.ID].waiting.Class]++
+			granted[p.running[g.ID].ticket.Class]++
 			busy = append(busy, slot{g.ID, now.Add(200 * time.Millisecond)})
 		}
 		kept := busy[:0]
@@ -132,19 +132,19 @@
 	}
 }
 
-// TestAttainableFirst: calls that can still meet their target come before lost
-// ones, and of every eight grants one goes to the oldest, so that all run.
+// Calls that can still meet their target run before those that can't, and every
+// eighth grant goes to the oldest call, so that all of them run.
 func TestAttainableFirst(t *testing.T) {
 	p := testPool(1, 1)
 	now := t0
-	lost := map[TicketID]bool{}
+	overdue := map[TicketID]bool{}
 	for range 5 {
 		tk := ticket("late", "big")
 		tk.Age = time.Minute / 2
-		lost[tk.ID] = true
+		overdue[tk.ID] = true
 		p.Enqueue(now, tk)
 	}
-	lostRun := 0
+	overdueGranted := 0
 	for n := range 40 {
 		now = now.Add(10 * time.Millisecond)
 		p.Enqueue(now, ticket("late", "small"))
@@ -152,11 +152,11 @@
 		if len(a.Grants) != 1 {
 			t.Fatalf("step %d: %d grants", n, len(a.Grants))
 		}
-		lostRun += map[bool]int{true: 1}[lost[a.Grants[0].ID]]
+		overdueGranted += map[bool]int{true: 1}[overdue[a.Grants[0].ID]]
 		p.Finish(now, a.Grants[0].ID, Usage{OutputTokens: 10, Completed: true})
 	}
-	if lostRun != 5 {
-		t.Fatalf("%d of 5 lost calls ran in 40 grants, want one in eight", lostRun)
+	if overdueGranted != 5 {
+		t.Fatalf("%d of 5 overdue calls ran in 40 grants, want all five: one grant in eight", overdueGranted)
 	}
 }
 
@@ -172,7 +172,7 @@
 		got = got || g.ID == small.ID
 	}
 	if !got {
-		t.Fatal("the small customer waits behind a hundred calls of the big one")
+		t.Fatal("the small customer's call was not granted before the hundred of the big customer")
 	}
 }
 
@@ -183,8 +183,8 @@
 		p.Enqueue(t0, ticket("scene", "capped"))
 	}
 	a := p.Advance(t0)
-	if len(a.Refusals) != 2 || a.Refusals[0].Reason != ReasonRate || a.Refusals[0].RetryAfter <= 0 {
-		t.Fatalf("refusals %v, want two of the rated customer with a time to come back", a.Refusals)
+	if len(a.Refusals) != 2 || a.Refusals[0].Reason != ReasonCustomerRate || a.Refusals[0].RetryAfter <= 0 {
+		t.Fatalf("refusals %v, want two of the rated customer with a retry time", a.Refusals)
 	}
 	if len(a.Grants) != 3 {
 		t.Fatalf("%d grants, want two of rated and one of capped", len(a.Grants))
@@ -221,7 +221,7 @@
 	}
 	p.policy.Retired = map[string]uint64{"s1": 1}
 	p.Enqueue(t0, ticket("top", "big"))
-	if g := p.Advance(t0.Add(faultMax)).Grants; len(g) != 0 {
+	if g := p.Advance(t0.Add(maxFaultBackoff)).Grants; len(g) != 0 {
 		t.Fatalf("granted a retired server: %v", g)
 	}
 }
@@ -230,7 +230,7 @@
 	p := testPool(4, 16)
 	for range 20 {
 		var progress []Progress
-		for n, s := range p.ordered {
+		for n, s := range p.serversByID {
 			tokens := 100
 			if n == 0 {
 				tokens = 25
@@ -253,8 +253,8 @@
 	}
 }
 
-// TestHandOver: a new dispatcher that learns all from the entries neither
-// exceeds the slots nor forgets a call.
+// A new dispatcher that gets all its state from the entries neither exceeds the slots
+// nor loses a call.
 func TestHandOver(t *testing.T) {
 	old, next := testPool(2, 5), testPool(2, 5)
 	sent := map[TicketID]Ticket{}
@@ -263,9 +263,9 @@
 		sent[tk.ID] = tk
 		old.Enqueue(t0, tk)
 	}
-	var list []Running
+	var list []RunningCall
 	for _, g := range old.Advance(t0).Grants {
-		list = append(list, Running{sent[g.ID], g.Server})
+		list = append(list, RunningCall{sent[g.ID], g.Server})
 		delete(sent, g.ID)
 	}
 	next.Sync(t0, "e", list, nil)
@@ -277,22 +277,22 @@
 	}
 	next.Sync(t0.Add(syncGrace+time.Second), "e", nil, nil)
 	if v := next.View(t0); v.Running != 0 {
-		t.Fatalf("%d grants that the entry does not know are kept", v.Running)
+		t.Fatalf("%d grants that the entry does not report are still running", v.Running)
 	}
 }
 
-// TestAccounting: whatever happens, slots are never exceeded, counters never
-// drift, and each ticket gets one final word.
+// Under random events, slots are never exceeded, counters match the tickets, and each
+// ticket is granted or refused at most once.
 func TestAccounting(t *testing.T) {
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(9))
-	props.Property("books balance", prop.ForAll(func(seed int64) (string, error) {
+	props.Property("slots and counters stay consistent", prop.ForAll(func(seed int64) (string, error) {
 		rnd := rand.New(rand.NewSource(seed))
 		p := testPool(3, 4)
 		now := t0
 		open := map[TicketID]string{}
 		for range 400 {
 			now = now.Add(time.Duration(rnd.Intn(50)) * time.Millisecond)
-			for _, s := range p.ordered {
+			for _, s := range p.serversByID {
 				p.Announce(now, ServerInfo{ID: s.ID, Address: "x", Slots: 4, Running: rnd.Intn(5)})
 			}
 			tk := ticket([]string{"top", "check", "scene", "summary", "late"}[rnd.Intn(5)], []string{"big", "small", "rated", "capped"}[rnd.Intn(4)])
@@ -320,18 +320,18 @@
 				}
 				delete(open, r.ID)
 			}
-			own, queued := 0, 0
-			for _, s := range p.ordered {
-				own += s.own
-				if s.own > s.Slots {
-					return "", fmt.Errorf("%d calls on %d slots", s.own, s.Slots)
+			granted, queued := 0, 0
+			for _, s := range p.serversByID {
+				granted += s.granted
+				if s.granted > s.Slots {
+					return "", fmt.Errorf("%d calls on %d slots", s.granted, s.Slots)
 				}
 			}
-			for _, c := range p.ranked {
-				queued += c.count
+			for _, c := range p.classesByTier {
+				queued += c.queued
 			}
-			if own != len(p.running) || queued != len(p.waiting) || own+queued != len(open) {
-				return "", fmt.Errorf("own %d, running %d, queued %d, waiting %d, open %d", own, len(p.running), queued, len(p.waiting), len(open))
+			if granted != len(p.running) || queued != len(p.waiting) || granted+queued != len(open) {
+				return "", fmt.Errorf("granted %d, running %d, queued %d, waiting %d, open %d", granted, len(p.running), queued, len(p.waiting), len(open))
 			}
 		}
 		return "", nil
@@ -339,8 +339,8 @@
 	props.TestingRun(t)
 }
 
-// A server that announces how many requests a second it takes gets no more, in the order
-// of tiers, and what was sent to it beyond the grants counts.
+// A server that announces a request limit gets no more requests than that, higher tiers
+// first, and requests beyond the first of a grant count against the limit.
 func TestAnnouncedRequestLimitHolds(t *testing.T) {
 	p := testPool(1, 100)
 	announce := func(now time.Time, perSecond *float64) {
@@ -367,23 +367,23 @@
 	}
 	defer func(at time.Time) { t0 = at }(t0)
 	if n := advance(10 * time.Second); n < 18 || n > 21 {
-		t.Errorf("%d grants in 10 s at 2 a second", n)
+		t.Errorf("%d grants in 10 s at 2 a second, want 18 to 21", n)
 	}
 	for _, id := range granted {
 		if p.running[id].class.name != "top" {
 			t.Errorf("a %s was granted before the top tier", p.running[id].class.name)
 		}
 	}
-	p.Finish(t0, granted[0], Usage{Completed: true, Repeats: 4})
+	p.Finish(t0, granted[0], Usage{Completed: true, ExtraRequests: 4})
 	if n := advance(2 * time.Second); n > 1 {
-		t.Errorf("%d grants in 2 s though the server got four requests beside them", n)
+		t.Errorf("%d grants in 2 s after four extra requests were charged", n)
 	}
 	limit = 0
 	if n := advance(5 * time.Second); n > 1 {
-		t.Errorf("%d grants at a server that takes nothing", n)
+		t.Errorf("%d grants to a server with a limit of 0", n)
 	}
 	announce(t0, nil)
 	if n := len(p.Advance(t0).Grants); n < 30 {
-		t.Errorf("%d grants after the limit has ended", n)
+		t.Errorf("%d grants after the limit was withdrawn, want at least 30", n)
 	}
 }
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -8,49 +8,55 @@
 	"cardamomwick.example/core/bundle"
 )
 
-// waiting is a queued ticket.
-type waiting struct {
+// queuedTicket is a ticket with its queueing state. It is kept after the grant for
+// the accounting of the running call.
+type queuedTicket struct {
 	Ticket
 	arrival time.Time
 	expires time.Time
 	reason  Reason
-	// lostAt is when waiting has lost the first-token target.
-	lostAt time.Time
-	// gone: granted, cancelled or refused; heaps drop it lazily.
-	gone bool
-	// work is what its grant will charge, in token units.
-	work float64
+	// latestStart is the time of grant after which the first-token target is expected
+	// to be missed.
+	latestStart time.Time
+	// removed is set once the ticket is granted, cancelled or refused; queues and
+	// heaps delete such tickets lazily.
+	removed bool
+	// estimatedWork is charged when the ticket is granted, in output tokens.
+	estimatedWork float64
 }
 
 // customerQueue holds one customer's tickets of one class, oldest first.
 type customerQueue struct {
 	name    string
-	tickets []*waiting
-	// virtual is the weighted work this customer has been granted.
-	virtual float64
-	// slot is the position in the class's heap, -1 when absent.
-	slot int
+	tickets []*queuedTicket
+	// virtualTime is the granted work divided by the customer's weight (weighted fair
+	// queueing).
+	virtualTime float64
+	// heapIndex is the position in the class's heap, -1 when absent.
+	heapIndex int
 }
 
-func (q *customerQueue) insert(w *waiting) {
+// insert adds a ticket at its place by arrival.
+func (q *customerQueue) insert(w *queuedTicket) {
 	i := sort.Search(len(q.tickets), func(i int) bool { return q.tickets[i].arrival.After(w.arrival) })
 	q.tickets = append(q.tickets, nil)
 	copy(q.tickets[i+1:], q.tickets[i:])
 	q.tickets[i] = w
 }
 
-// trim drops tickets that are gone from both ends.
+// trim deletes removed tickets from both ends.
 func (q *customerQueue) trim() {
-	for len(q.tickets) > 0 && q.tickets[0].gone {
+	for len(q.tickets) > 0 && q.tickets[0].removed {
 		q.tickets[0] = nil
 		q.tickets = q.tickets[1:]
 	}
-	for n := len(q.tickets); n > 0 && q.tickets[n-1].gone; n-- {
+	for n := len(q.tickets); n > 0 && q.tickets[n-1].removed; n-- {
 		q.tickets = q.tickets[:n-1]
 	}
 }
 
-func (q *customerQueue) next(order bundle.Order) *waiting {
+// next returns the ticket to run next in the given order, nil if none waits.
+func (q *customerQueue) next(order bundle.Order) *queuedTicket {
 	q.trim()
 	if len(q.tickets) == 0 {
 		return nil
@@ -61,38 +67,39 @@
 	return q.tickets[0]
 }
 
-// attainable returns the oldest ticket that can still meet its target. Tickets
-// are sorted by arrival, so the lost ones come first.
-func (q *customerQueue) attainable(now time.Time) *waiting {
+// attainable returns the oldest ticket that can still meet its first-token target,
+// nil if there is none. Tickets are sorted by arrival, so those that can't meet it
+// any more come first.
+func (q *customerQueue) attainable(now time.Time) *queuedTicket {
 	q.trim()
-	i := sort.Search(len(q.tickets), func(i int) bool { return q.tickets[i].lostAt.After(now) })
+	i := sort.Search(len(q.tickets), func(i int) bool { return q.tickets[i].latestStart.After(now) })
 	for ; i < len(q.tickets); i++ {
-		if !q.tickets[i].gone {
+		if !q.tickets[i].removed {
 			return q.tickets[i]
 		}
 	}
 	return nil
 }
 
-// customerHeap orders the customers of a class by granted work.
+// customerHeap is a min-heap of a class's customers by virtual time.
 type customerHeap []*customerQueue
 
 func (h customerHeap) Len() int           { return len(h) }
-func (h customerHeap) Less(i, j int) bool { return h[i].virtual < h[j].virtual }
+func (h customerHeap) Less(i, j int) bool { return h[i].virtualTime < h[j].virtualTime }
 func (h customerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].slot = i
-	h[j].slot = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 func (h *customerHeap) Push(x any) {
 	q := x.(*customerQueue)
-	q.slot = len(*h)
+	q.heapIndex = len(*h)
 	*h = append(*h, q)
 }
 func (h *customerHeap) Pop() any {
 	old := *h
 	q := old[len(old)-1]
-	q.slot = -1
+	q.heapIndex = -1
 	*h = old[:len(old)-1]
 	return q
 }
@@ -103,12 +110,13 @@
 	policy    bundle.Class
 	customers map[string]*customerQueue
 	active    customerHeap
-	// virtual is the work level at which a returning customer starts.
-	virtual float64
-	// granted is the class's recent work, decayed over shareWindow.
-	granted float64
-	count   int
-	// grants counts towards the next grant by age alone.
+	// virtualTime is the least virtual time of a customer that becomes active, so that
+	// an idle customer saves up no claim.
+	virtualTime float64
+	// recentWork is the work granted to the class, decayed over shareWindow.
+	recentWork float64
+	queued     int
+	// grants counts the class's grants; see oldestFirstInterval.
 	grants int
 }
 
@@ -116,36 +124,36 @@
 	return &classQueue{name: name, policy: policy, customers: map[string]*customerQueue{}}
 }
 
-func (c *classQueue) add(w *waiting) {
+func (c *classQueue) add(w *queuedTicket) {
 	q := c.customers[w.Customer]
 	if q == nil {
-		q = &customerQueue{name: w.Customer, slot: -1}
+		q = &customerQueue{name: w.Customer, heapIndex: -1}
 		c.customers[w.Customer] = q
 	}
 	q.insert(w)
-	c.count++
-	if q.slot < 0 {
-		q.virtual = max(q.virtual, c.virtual)
+	c.queued++
+	if q.heapIndex < 0 {
+		q.virtualTime = max(q.virtualTime, c.virtualTime)
 		heap.Push(&c.active, q)
 	}
 }
 
-// remove marks a ticket as gone.
-func (c *classQueue) remove(w *waiting) {
-	if !w.gone {
-		w.gone = true
-		c.count--
+// remove marks a ticket as removed.
+func (c *classQueue) remove(w *queuedTicket) {
+	if !w.removed {
+		w.removed = true
+		c.queued--
 	}
 }
 
-// lateEvery is how many grants of an attainable-first class come before one goes
-// to its oldest call, lost or not.
-const lateEvery = 8
+// oldestFirstInterval: every so many grants, a class in attainable-first order grants
+// its next ticket by fair queueing and age alone, so that tickets which can't meet
+// their target any more run as well.
+const oldestFirstInterval = 8
 
-// next returns the customer and the ticket that the class would run next, nil
-// when none waits.
-func (c *classQueue) next(now time.Time) (*customerQueue, *waiting) {
-	if c.policy.Order == bundle.OrderAttainable && c.grants%lateEvery != lateEvery-1 {
+// next returns the ticket to run next and its customer, nil if none waits.
+func (c *classQueue) next(now time.Time) (*customerQueue, *queuedTicket) {
+	if c.policy.Order == bundle.OrderAttainable && c.grants%oldestFirstInterval != oldestFirstInterval-1 {
 		if q, w := c.firstAttainable(now); w != nil {
 			return q, w
 		}
@@ -155,18 +163,18 @@
 		if w := q.next(c.policy.Order); w != nil {
 			return q, w
 		}
-		c.drop(q)
+		c.deactivate(q)
 	}
 	return nil, nil
 }
 
-// firstAttainable returns the attainable ticket of the customer that is owed
-// the most.
-func (c *classQueue) firstAttainable(now time.Time) (*customerQueue, *waiting) {
+// firstAttainable returns an attainable ticket of the customer with the lowest
+// virtual time.
+func (c *classQueue) firstAttainable(now time.Time) (*customerQueue, *queuedTicket) {
 	var best *customerQueue
-	var ticket *waiting
+	var ticket *queuedTicket
 	for _, q := range c.active {
-		if best != nil && best.virtual <= q.virtual {
+		if best != nil && best.virtualTime <= q.virtualTime {
 			continue
 		}
 		if w := q.attainable(now); w != nil {
@@ -176,28 +184,29 @@
 	return best, ticket
 }
 
-// drop takes empty customers out of the heap.
-func (c *classQueue) drop(q *customerQueue) {
-	if q.slot >= 0 {
-		heap.Remove(&c.active, q.slot)
+// deactivate takes a customer out of the heap, and deletes it if it has no tickets
+// and its virtual time is not ahead of the class's.
+func (c *classQueue) deactivate(q *customerQueue) {
+	if q.heapIndex >= 0 {
+		heap.Remove(&c.active, q.heapIndex)
 	}
-	if len(q.tickets) == 0 && q.virtual <= c.virtual {
+	if len(q.tickets) == 0 && q.virtualTime <= c.virtualTime {
 		delete(c.customers, q.name)
 	}
 }
 
-// charge adds granted work to a customer.
+// charge adds granted work to a customer's virtual time.
 func (c *classQueue) charge(q *customerQueue, work, weight float64) {
-	c.virtual = max(c.virtual, q.virtual)
-	q.virtual += work / weight
-	if q.slot >= 0 {
-		heap.Fix(&c.active, q.slot)
+	c.virtualTime = max(c.virtualTime, q.virtualTime)
+	q.virtualTime += work / weight
+	if q.heapIndex >= 0 {
+		heap.Fix(&c.active, q.heapIndex)
 	}
 }
 
-// newest returns the latest ticket of the class, for shedding.
-func (c *classQueue) newest() *waiting {
-	var last *waiting
+// newest returns the ticket of the class that arrived last, nil if none waits.
+func (c *classQueue) newest() *queuedTicket {
+	var last *queuedTicket
 	for _, q := range c.active {
 		if w := q.next(bundle.OrderNewest); w != nil && (last == nil || w.arrival.After(last.arrival)) {
 			last = w
@@ -206,13 +215,13 @@
 	return last
 }
 
-// expiryHeap orders tickets by the time at which they are refused.
-type expiryHeap []*waiting
+// expiryHeap is a min-heap of tickets by the time at which they are refused.
+type expiryHeap []*queuedTicket
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].expires.Before(h[j].expires) }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *expiryHeap) Push(x any)        { *h = append(*h, x.(*waiting)) }
+func (h *expiryHeap) Push(x any)        { *h = append(*h, x.(*queuedTicket)) }
 func (h *expiryHeap) Pop() any {
 	old := *h
 	w := old[len(old)-1]
--- a/core/dispatch/server.go
+++ b/core/dispatch/server.go
@@ -8,73 +8,76 @@
 	"cardamomwick.example/core/ratelimit"
 )
 
-// Parameters of server selection. docs/POLICY.md holds the measurements.
+// Parameters of server selection; docs/POLICY.md has the measurements behind them.
 const (
-	// ServerTTL is how long an announcement counts.
+	// ServerTTL is how long an announcement is valid.
 	ServerTTL = 3 * time.Second
-	// reportLag is how old a server's load report may be.
-	reportLag = 3 * time.Second
-	lagSlot   = 250 * time.Millisecond
-	lagSlots  = int(reportLag / lagSlot)
-	// speedAlpha weighs one second's progress in the moving average.
-	speedAlpha = 0.4
-	// slowSpeed is the part of the pool's median speed below which a server
-	// counts as a straggler.
-	slowSpeed = 0.6
-	// prefixBonus is the most that a cached prefix is worth, in parts of a
-	// full server's load.
-	prefixBonus = 0.3
-	// prefixHalfLife is how fast belief in a cache event fades.
-	prefixHalfLife = 60 * time.Second
-	maxPrefixes    = 4096
-	faultBase      = 500 * time.Millisecond
-	faultMax       = 10 * time.Second
+	// maxReportLag is the most by which a server's load report may lag.
+	maxReportLag  = 3 * time.Second
+	peakInterval  = 250 * time.Millisecond
+	peakIntervals = int(maxReportLag / peakInterval)
+	// tokenRateAlpha is the weight of a new sample in the moving average of the token
+	// rate.
+	tokenRateAlpha = 0.4
+	// stragglerSpeed is the fraction of the pool's median token rate below which a
+	// server counts as a straggler.
+	stragglerSpeed = 0.6
+	// maxPrefixBonus is the most by which a cached prefix lowers the cost, as a
+	// fraction of a full server's load.
+	maxPrefixBonus = 0.3
+	// prefixHalfLife is the half-life of the assumption that an announced prefix is
+	// still cached.
+	prefixHalfLife  = 60 * time.Second
+	maxPrefixes     = 4096
+	minFaultBackoff = 500 * time.Millisecond
+	maxFaultBackoff = 10 * time.Second
 )
 
 // server is a backend server as the dispatcher sees it.
 type server struct {
 	ServerInfo
-	seen time.Time
-	own  int
-	// peaks is a ring of the highest own count per lagSlot: a lagging report
-	// may describe any of these moments.
-	peaks   [lagSlots]int
-	peakAt  int64
-	foreign int
-	// pace is the moving average of tokens per busy second of one stream.
-	pace float64
-	// speed is pace against the pool's median, at most 1.
-	speed   float64
-	faults  int
-	blocked time.Time
-	// tokens allow requests to a server that has announced a limit.
-	tokens   ratelimit.Bucket
-	prefixes map[uint64]time.Time
+	lastAnnounced time.Time
+	granted       int
+	// peaks is a ring buffer of the highest granted count per peakInterval: a lagging
+	// report may describe the load at any time within maxReportLag.
+	peaks     [peakIntervals]int
+	peakIndex int64
+	otherLoad int
+	// tokenRate is the moving average of tokens per second of a generating stream.
+	tokenRate float64
+	// speed is tokenRate relative to the pool's median, at most 1.
+	speed             float64
+	consecutiveFaults int
+	blockedUntil      time.Time
+	// requestBucket limits the requests to a server that has announced a limit.
+	requestBucket ratelimit.Bucket
+	prefixes      map[uint64]time.Time
 }
 
 func newServer(info ServerInfo) *server {
 	return &server{ServerInfo: info, speed: 1, prefixes: map[uint64]time.Time{}}
 }
 
-func (s *server) notePeak(now time.Time) {
-	slot := now.UnixMilli() / lagSlot.Milliseconds()
-	for s.peakAt < slot {
-		s.peakAt = max(s.peakAt+1, slot-int64(lagSlots))
-		s.peaks[s.peakAt%int64(lagSlots)] = s.own
+// recordPeak updates the peak of the current interval.
+func (s *server) recordPeak(now time.Time) {
+	slot := now.UnixMilli() / peakInterval.Milliseconds()
+	for s.peakIndex < slot {
+		s.peakIndex = max(s.peakIndex+1, slot-int64(peakIntervals))
+		s.peaks[s.peakIndex%int64(peakIntervals)] = s.granted
 	}
-	i := slot % int64(lagSlots)
-	s.peaks[i] = max(s.peaks[i], s.own)
+	i := slot % int64(peakIntervals)
+	s.peaks[i] = max(s.peaks[i], s.granted)
 }
 
-// report takes an announcement. Load beyond anything that this dispatcher
-// granted lately comes from elsewhere.
-func (s *server) report(now time.Time, info ServerInfo) {
-	s.notePeak(now)
+// update applies an announcement. Reported load above the highest number of slots
+// that this dispatcher had granted within maxReportLag comes from other senders.
+func (s *server) update(now time.Time, info ServerInfo) {
+	s.recordPeak(now)
 	highest := 0
 	for _, p := range s.peaks {
 		highest = max(highest, p)
 	}
-	s.foreign = max(0, info.Running+info.Queued-highest)
+	s.otherLoad = max(0, info.Running+info.Queued-highest)
 	for _, h := range info.Cached {
 		if len(s.prefixes) < maxPrefixes {
 			s.prefixes[h] = now
@@ -85,103 +88,109 @@
 	}
 	info.Cached, info.Evicted = nil, nil
 	if s.RequestsPerSecond == nil && info.RequestsPerSecond != nil {
-		s.tokens = ratelimit.NewBucket(now, 0)
+		s.requestBucket = ratelimit.NewBucket(now, 0)
 	}
 	s.ServerInfo = info
-	s.seen = now
+	s.lastAnnounced = now
 }
 
-func (s *server) take(now time.Time) {
-	s.own++
-	s.notePeak(now)
+func (s *server) acquire(now time.Time) {
+	s.granted++
+	s.recordPeak(now)
 }
 
 func (s *server) release(now time.Time) {
-	s.own = max(0, s.own-1)
-	s.notePeak(now)
+	s.granted = max(0, s.granted-1)
+	s.recordPeak(now)
 }
 
-// limit is how many calls may run there now. A straggler keeps a few slots as
-// probes, which let it back when its pace recovers.
+// limit returns how many calls the server may run now. A straggler keeps a few
+// slots for probes, whose token rate shows when it has recovered.
 func (s *server) limit() int {
-	if s.speed >= slowSpeed {
+	if s.speed >= stragglerSpeed {
 		return s.Slots
 	}
 	return max(min(1, s.Slots), int(float64(s.Slots)*s.speed*s.speed*s.speed))
 }
 
-func (s *server) used() int { return s.own + s.foreign }
+// used returns the number of slots in use.
+func (s *server) used() int { return s.granted + s.otherLoad }
 
+// usable reports whether the server's announcement is valid and no fault blocks it.
 func (s *server) usable(now time.Time) bool {
-	return now.Sub(s.seen) <= ServerTTL && !now.Before(s.blocked)
+	return now.Sub(s.lastAnnounced) <= ServerTTL && !now.Before(s.blockedUntil)
 }
 
 // allows reports whether the server's announced limit allows a request now.
-func (s *server) allows(now time.Time) bool {
-	return s.RequestsPerSecond == nil || s.tokens.Tokens(now, *s.RequestsPerSecond) >= 1
+func (s *server) allowsRequest(now time.Time) bool {
+	return s.RequestsPerSecond == nil || s.requestBucket.Tokens(now, *s.RequestsPerSecond) >= 1
 }
 
-// charge takes the tokens of so many requests; more than there are delay the next ones.
-func (s *server) charge(now time.Time, requests int) {
+// chargeRequests takes the tokens of a number of requests. The bucket may go below
+// zero, which delays the next requests.
+func (s *server) chargeRequests(now time.Time, requests int) {
 	if s.RequestsPerSecond != nil {
-		s.tokens.Charge(now, *s.RequestsPerSecond, requests)
+		s.requestBucket.Charge(now, *s.RequestsPerSecond, requests)
 	}
 }
 
-// fault blocks a failing server for a while, longer each time.
-func (s *server) fault(now time.Time) {
-	s.faults++
-	d := float64(faultBase) * math.Pow(2, float64(min(s.faults-1, 8)))
-	s.blocked = now.Add(time.Duration(math.Min(d, float64(faultMax))))
+// recordFault blocks a failing server with exponential backoff.
+func (s *server) recordFault(now time.Time) {
+	s.consecutiveFaults++
+	d := float64(minFaultBackoff) * math.Pow(2, float64(min(s.consecutiveFaults-1, 8)))
+	s.blockedUntil = now.Add(time.Duration(math.Min(d, float64(maxFaultBackoff))))
 }
 
-// observe takes an entry's progress report.
-func (s *server) observe(tokens int, busy time.Duration) {
+// observeProgress adds an entry's progress report to the moving average of the token
+// rate. Reports of less than 100 ms are ignored.
+func (s *server) observeProgress(tokens int, busy time.Duration) {
 	if busy < 100*time.Millisecond {
 		return
 	}
-	pace := float64(tokens) / busy.Seconds()
-	if s.pace == 0 {
-		s.pace = pace
+	tokenRate := float64(tokens) / busy.Seconds()
+	if s.tokenRate == 0 {
+		s.tokenRate = tokenRate
 		return
 	}
-	s.pace += speedAlpha * (pace - s.pace)
+	s.tokenRate += tokenRateAlpha * (tokenRate - s.tokenRate)
 }
 
-// prefixMatch returns how much of a prompt is believed cached, 0 to 1, less
-// with the age of the event.
+// prefixMatch returns the fraction of a prompt's blocks that is expected to be
+// cached, reduced with the age of the cache event.
 func (s *server) prefixMatch(now time.Time, prefixes []uint64) float64 {
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		if at, ok := s.prefixes[prefixes[i]]; ok {
-			trust := math.Exp2(-float64(now.Sub(at)) / float64(prefixHalfLife))
-			return trust * float64(i+1) / float64(len(prefixes))
+			confidence := math.Exp2(-float64(now.Sub(at)) / float64(prefixHalfLife))
+			return confidence * float64(i+1) / float64(len(prefixes))
 		}
 	}
 	return 0
 }
 
-// cost is lower for a better choice.
+// cost rates a server for a ticket by its load, speed and cached prefixes; lower is
+// better.
 func (s *server) cost(now time.Time, t *Ticket) float64 {
 	load := float64(s.used()+1) / float64(max(1, s.Slots))
-	return load/math.Max(s.speed, 0.05) - prefixBonus*s.prefixMatch(now, t.Prefixes)
+	return load/math.Max(s.speed, 0.05) - maxPrefixBonus*s.prefixMatch(now, t.Prefixes)
 }
 
-// rateSpeeds compares every server's pace with the median.
-func rateSpeeds(servers []*server) {
-	var paces []float64
+// updateSpeeds sets each server's speed from the median token rate. Fewer than three
+// measured servers give no meaningful median.
+func updateSpeeds(servers []*server) {
+	var rates []float64
 	for _, s := range servers {
-		if s.pace > 0 {
-			paces = append(paces, s.pace)
+		if s.tokenRate > 0 {
+			rates = append(rates, s.tokenRate)
 		}
 	}
-	if len(paces) < 3 {
+	if len(rates) < 3 {
 		return
 	}
-	sort.Float64s(paces)
-	median := paces[len(paces)/2]
+	sort.Float64s(rates)
+	median := rates[len(rates)/2]
 	for _, s := range servers {
-		if s.pace > 0 {
-			s.speed = math.Min(1, s.pace/median)
+		if s.tokenRate > 0 {
+			s.speed = math.Min(1, s.tokenRate/median)
 		}
 	}
 }
--- a/core/dispatch/ticket.go
+++ b/core/dispatch/ticket.go
@@ -1,11 +1,13 @@
 // Package dispatch decides which waiting call of a pool runs next and on which
-// backend server. One Pool holds the tickets of all entries, so that tiers
-// hold across entries and load is counted from grants instead of lagging
-// reports. It is pure: the clock is passed in, and actions are returned.
+// backend server. One Pool holds the tickets of all entries, so that tiers apply
+// across entries and load is counted from grants rather than from lagging
+// reports. The package does no I/O: the time is passed in, and actions are
+// returned.
 //
-// Order: strictly by tier, except that a class that got less than its
-// guaranteed share of the work comes first; among the customers of a class by
-// weighted fair queueing on work; for one customer oldest or newest first.
+// Classes are served strictly by tier, except that a class that received less
+// than its guaranteed share of the work comes first. The customers of a class
+// share it by weighted fair queueing on work. One customer's tickets run in the
+// order of the class: oldest, newest, or oldest attainable first.
 package dispatch
 
 import (
@@ -14,31 +16,31 @@
 	"cardamomwick.example/core/bundle"
 )
 
-// TicketID names a waiting or running call: the entry process that holds it
-// and that entry's sequence number.
+// TicketID identifies a waiting or running call by the entry process that holds it
+// and that process's sequence number.
 type TicketID struct {
 	Entry    string `msgpack:"e"`
 	Sequence uint64 `msgpack:"s"`
 }
 
-// Ticket is what the dispatcher knows about a call. The entry keeps the
-// caller's connection and the body.
+// Ticket describes a call to the dispatcher. The entry keeps the caller's
+// connection and the request body.
 type Ticket struct {
 	ID       TicketID `msgpack:"i"`
 	Class    string   `msgpack:"c"`
 	Customer string   `msgpack:"u"`
-	// Age is how long the call had waited when the ticket was sent; clocks of
-	// different machines are never compared.
+	// Age is how long the call had waited when the ticket was sent. Durations are sent
+	// because clocks of different machines are never compared.
 	Age time.Duration `msgpack:"a"`
 	// Remaining is the time to the caller's deadline when the ticket was sent.
 	Remaining time.Duration `msgpack:"r"`
-	// PromptTokens estimates the length of the input.
+	// PromptTokens is the estimated length of the input.
 	PromptTokens int `msgpack:"p"`
 	// Prefixes are hashes of the prompt's leading blocks, shortest first.
 	Prefixes []uint64 `msgpack:"x,omitempty"`
-	// Exclude lists servers that failed this call before.
+	// Exclude lists servers on which this call has failed.
 	Exclude []string `msgpack:"n,omitempty"`
-	// Attempt is 1 for the first try.
+	// Attempt counts from 1.
 	Attempt int `msgpack:"t"`
 }
 
@@ -53,40 +55,40 @@
 // Reason is why a ticket was refused.
 type Reason string
 
-// Reasons of refusals.
+// Reasons for refusals.
 const (
-	ReasonDeadline   Reason = "deadline"
-	ReasonFirstToken Reason = "first_token_target"
-	ReasonRate       Reason = "customer_rate"
-	ReasonQueueFull  Reason = "queue_full"
-	ReasonUnknown    Reason = "unknown_class"
+	ReasonDeadline     Reason = "deadline"
+	ReasonFirstToken   Reason = "first_token_target"
+	ReasonCustomerRate Reason = "customer_rate"
+	ReasonQueueFull    Reason = "queue_full"
+	ReasonUnknownClass Reason = "unknown_class"
 )
 
-// Refusal tells an entry to answer not_run at once.
+// Refusal tells an entry to answer with the outcome not_run at once.
 type Refusal struct {
 	ID     TicketID `msgpack:"i"`
 	Reason Reason   `msgpack:"r"`
-	// RetryAfter is when the caller may come back with better hope.
+	// RetryAfter estimates when a retry is likely to be accepted.
 	RetryAfter time.Duration `msgpack:"a"`
 	Attempt    int           `msgpack:"t"`
 }
 
-// Actions is what a Pool wants done.
+// Actions are the decisions of a Pool that entries carry out.
 type Actions struct {
 	Grants   []Grant   `msgpack:"g,omitempty"`
 	Refusals []Refusal `msgpack:"r,omitempty"`
 }
 
-// Usage is what a finished attempt used.
+// Usage is the result of a finished attempt.
 type Usage struct {
 	OutputTokens int `msgpack:"o"`
-	// Fault: the server refused the connection, broke it or answered 5xx.
+	// Fault is set if the server refused or broke the connection or answered 5xx.
 	Fault bool `msgpack:"f,omitempty"`
-	// Completed: the whole answer came.
+	// Completed is set if the whole answer was received.
 	Completed bool `msgpack:"c,omitempty"`
-	// Repeats are the requests that the server got beyond the first one, to take up a
-	// broken stream or to cancel it.
-	Repeats int `msgpack:"r,omitempty"`
+	// ExtraRequests counts the requests sent to the server after the first one, to
+	// resume a broken stream or to cancel it.
+	ExtraRequests int `msgpack:"r,omitempty"`
 }
 
 // ServerInfo is a backend server's announcement.
@@ -94,33 +96,34 @@
 	ID      string `msgpack:"i" json:"id"`
 	Address string `msgpack:"a" json:"address"`
 	Zone    string `msgpack:"z" json:"zone"`
-	// Slots is how many calls it runs at once.
+	// Slots is how many calls the server runs at once.
 	Slots int `msgpack:"s" json:"slots"`
-	// Running and Queued are its own report, which may lag.
+	// Running and Queued are as reported by the server and may lag.
 	Running int `msgpack:"r" json:"running"`
 	Queued  int `msgpack:"q" json:"queued"`
-	// RequestsPerSecond is the most that it takes from all instances together; nil for
-	// what it is given.
+	// RequestsPerSecond limits the requests from all instances together; nil means no
+	// limit.
 	RequestsPerSecond *float64 `msgpack:"l,omitempty" json:"requests_per_second,omitempty"`
-	// Version and Adapters are what the engine has loaded.
+	// Version and Adapters are the model version and adapters that the engine has
+	// loaded.
 	Version  string   `msgpack:"v,omitempty" json:"version,omitempty"`
 	Adapters []string `msgpack:"d,omitempty" json:"adapters,omitempty"`
-	// Cached are prefix hashes that its cache events announced, with gaps.
+	// Cached are prefix hashes from the server's cache events, which may be incomplete.
 	Cached []uint64 `msgpack:"c,omitempty" json:"cached,omitempty"`
-	// Evicted are prefix hashes that it has dropped.
+	// Evicted are prefix hashes that the server no longer caches.
 	Evicted []uint64 `msgpack:"e,omitempty" json:"evicted,omitempty"`
 }
 
-// Progress is what one entry saw of one server since its last report.
+// Progress is an entry's count of a server's output since its last report.
 type Progress struct {
 	Server string `msgpack:"s"`
 	Tokens int    `msgpack:"t"`
-	// Busy is the sum over its streams of the time they were generating.
+	// Busy is the generating time, summed over the entry's streams from the server.
 	Busy time.Duration `msgpack:"b"`
 }
 
-// Running is a grant as its entry sees it.
-type Running struct {
+// RunningCall is a call that an entry reports as running on a server.
+type RunningCall struct {
 	Ticket Ticket `msgpack:"t"`
 	Server string `msgpack:"s"`
 }
--- a/ctl/prove/red.sh
+++ b/ctl/prove/red.sh
@@ -48,12 +48,12 @@
 broken two-voters-at-once   core/raft/node.go              's/votersChanged\(cur\.membership, m\) > 1/false/'               core   TestReplaceLostDisk
 broken any-owner            core/state/calls.go            's/if r\.CallID == c\.CallID \&\& r\.Phase != PhaseDone \{/if r.Phase != PhaseDone {/' core TestOneOwnerPerKey
 broken forgets-early        core/state/calls.go            's/return k\.Millis < now-Retention\.Milliseconds\(\) \|\| /return /' core TestKeysAreForgottenOnlyWhenRefused
-broken announced-limit-unread core/dispatch/grant.go       's/ \|\| !s\.allows\(now\)//'                                prove  TestAnnouncedLimitHoldsOverAllInstances
+broken announced-limit-unread core/dispatch/grant.go       's/ \|\| !s\.allowsRequest\(now\)//'                         prove  TestAnnouncedLimitHoldsOverAllInstances
 broken whole-limit-each     core/ratelimit/share.go        's/return k\.Own \/ \(k\.Own \+ s\.others\)/return 1/'          core   TestInstancesTogetherKeepToALimit
 broken tokens-add-up        core/ratelimit/bucket.go       's/if b\.credit > most/if false/'                             core   TestInstancesTogetherKeepToALimit
 broken sheds-upward         core/dispatch/pool.go          's/lower\.policy\.Tier <= c\.policy\.Tier/false/'               core   TestNeverShedsSameOrHigherTier
-broken no-shares            core/dispatch/grant.go         's/if c\.granted < c\.policy\.Share\*total/if false/'            core   TestEveryClassRuns
-broken refuses-unwaited     core/dispatch/pool.go          's/maxFirstTokenEst = 0\.5/maxFirstTokenEst = 5/'              core   TestGivesUpOnlyForWaiting
+broken no-shares            core/dispatch/grant.go         's/if c\.recentWork < c\.policy\.Share\*total/if false/'            core   TestEveryClassRuns
+broken refuses-unwaited     core/dispatch/pool.go          's/maxFirstTokenFraction = 0\.5/maxFirstTokenFraction = 5/'    core   TestGivesUpOnlyForWaiting
 broken sent-twice           daemon/backend/backend.go      's/onceReader\{bytes\.NewReader\(body\)\}/bytes.NewReader(body)/' daemon TestNothingIsSentTwice
 broken acks-unsynced        daemon/storage/storage.go      's/if err := s\.segment\.Sync\(\); err != nil \{/if err := error(nil); err != nil {/' daemon TestFailedSyncIsFinal
 broken no-mac               daemon/frame/frame.go          's/if !hmac\.Equal\(.*\) \{/if false {/'                         daemon TestTamperedReplayedAndHugeFrames
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -242,7 +242,7 @@
 	for pool, v := range d.dispatcher.View() {
 		for _, c := range v.Classes {
 			fmt.Fprintf(w, "cardamomwick_dispatcher_waiting{pool=%q,class=%q} %d\n", pool, c.Class, c.Waiting)
-			fmt.Fprintf(w, "cardamomwick_dispatcher_recent_work{pool=%q,class=%q} %g\n", pool, c.Class, c.Granted)
+			fmt.Fprintf(w, "cardamomwick_dispatcher_recent_work{pool=%q,class=%q} %g\n", pool, c.Class, c.RecentWork)
 		}
 		for _, s := range v.Servers {
 			fmt.Fprintf(w, "cardamomwick_dispatcher_granted{pool=%q,server=%q} %d\n", pool, s.ID, s.Granted)
--- a/daemon/dispatcher/dispatcher.go
+++ b/daemon/dispatcher/dispatcher.go
@@ -259,7 +259,7 @@
 		if m.FirstToken > 0 {
 			core.ObserveFirstToken(m.FirstToken)
 		}
-		waiting = core.WaitingOf(m.Entry)
+		waiting = core.WaitingForEntry(m.Entry)
 	})
 	_ = s.transport.Send(from, MethodSynced, &Synced{Pool: m.Pool, Waiting: waiting})
 }
--- a/daemon/dispatcher/wire.go
+++ b/daemon/dispatcher/wire.go
@@ -45,7 +45,7 @@
 type Sync struct {
 	Pool     string              `msgpack:"p"`
 	Entry    string              `msgpack:"e"`
-	Running  []dispatch.Running  `msgpack:"r,omitempty"`
+	Running  []dispatch.RunningCall  `msgpack:"r,omitempty"`
 	Progress []dispatch.Progress `msgpack:"g,omitempty"`
 	// FirstToken is the mean time from grant to first token since the last
 	// report; 0 for none.
--- a/daemon/entry/attempt.go
+++ b/daemon/entry/attempt.go
@@ -183,7 +183,7 @@
 		return failed(giveUp(http.StatusServiceUnavailable, api.ErrorRefused, "the caller left while the call waited", uncertain))
 	}
 	status, kind := http.StatusServiceUnavailable, api.ErrorRefused
-	if refused.Reason == dispatch.ReasonRate {
+	if refused.Reason == dispatch.ReasonCustomerRate {
 		status, kind = http.StatusTooManyRequests, api.ErrorRate
 	}
 	x := giveUp(status, kind, "not dispatched: "+string(refused.Reason), uncertain).after(refused.RetryAfter)
@@ -238,16 +238,16 @@
 	repeats, f := e.generate(ctx, t, body, slot, out)
 	_, now := out.partial()
 	if f == nil {
-		slot.Finish(dispatch.Usage{Completed: true, OutputTokens: now - before, Repeats: repeats})
+		slot.Finish(dispatch.Usage{Completed: true, OutputTokens: now - before, ExtraRequests: repeats})
 		return out.whole(), nil
 	}
 	if ctx.Err() != nil {
 		go backend.Cancel(t)
 		e.metrics.Abandoned(c.class, now)
-		slot.Finish(dispatch.Usage{OutputTokens: now - before, Repeats: repeats + 1})
+		slot.Finish(dispatch.Usage{OutputTokens: now - before, ExtraRequests: repeats + 1})
 		return nil, f
 	}
-	slot.Finish(dispatch.Usage{Fault: f.Status == 0 || f.Status >= 500, OutputTokens: now - before, Repeats: repeats})
+	slot.Finish(dispatch.Usage{Fault: f.Status == 0 || f.Status >= 500, OutputTokens: now - before, ExtraRequests: repeats})
 	return nil, f
 }
 
--- a/daemon/scheduler/scheduler.go
+++ b/daemon/scheduler/scheduler.go
@@ -217,7 +217,7 @@
 	for _, c := range l.calls {
 		if c.server != "" {
 			c.settleProgress(now)
-			m.Running = append(m.Running, dispatch.Running{Ticket: c.current(now), Server: c.server})
+			m.Running = append(m.Running, dispatch.RunningCall{Ticket: c.current(now), Server: c.server})
 		}
 	}
 	for _, p := range l.progress {
