--- a/core/api/duties.go
+++ b/core/api/duties.go
@@ -2,58 +2,63 @@
 
 import "time"
 
-// Pages of an instance with a replica, beside its metrics.
+// Pages of an instance with a replica, served on its metrics address.
 const (
 	PathUsage  = "/usage"
 	PathDuties = "/duties"
 )
 
-// QueryAfter is the query key of PathUsage that names the last window that is known.
+// QueryAfter is the query parameter of PathUsage with the number of the last window
+// that the client already has.
 const QueryAfter = "after"
 
-// UsageRecord is a recorded window.
+// UsageRecord holds the usage counts of a closed window.
 type UsageRecord struct {
 	Window int64     `json:"window"`
 	Begin  time.Time `json:"begin"`
 	End    time.Time `json:"end"`
-	// Counts has the runs that began, by customer.
+	// Counts holds the number of runs that began in the window, by customer.
 	Counts map[string]uint64 `json:"counts"`
-	// Taken: whoever asks for usage has acknowledged it, or nobody asks.
-	Taken bool `json:"taken"`
+	// Acknowledged is set once the usage collector has acknowledged the window, or if
+	// no collector asks for usage.
+	Acknowledged bool `json:"taken"`
 }
 
-// UsagePage is a part of the recorded windows.
+// UsagePage is a page of the recorded windows.
 type UsagePage struct {
 	Records []UsageRecord `json:"records"`
-	// Late are runs that were told after their window was closed, since the group began.
+	// Late counts the runs reported after their window was closed, since the replica
+	// group was created.
 	Late uint64 `json:"late"`
-	// More: there are windows after the last one of the page.
+	// More is set if there are windows after the last one of the page.
 	More bool `json:"more"`
 }
 
-// DutyStatus is a duty of one instance at a time.
+// DutyStatus is the state of a duty, which one instance holds at a time.
 type DutyStatus struct {
-	Duty   string `json:"duty"`
-	Holder string `json:"holder"`
-	Term   uint64 `json:"term"`
-	Fence  uint64 `json:"last_fence"`
+	Duty      string `json:"duty"`
+	Holder    string `json:"holder"`
+	Term      uint64 `json:"term"`
+	LastFence uint64 `json:"last_fence"`
 }
 
-// ServerOrder is the last order of servers of a kind in a zone.
+// ServerOrder is the last order for servers of a pool in a zone, either reclaimable
+// or not.
 type ServerOrder struct {
 	Pool        string `json:"pool"`
 	Zone        string `json:"availability_zone"`
 	Reclaimable bool   `json:"reclaimable"`
 	Count       int    `json:"count"`
-	// Seen are the servers of that kind that take work.
+	// Seen counts such servers that accept work.
 	Seen int `json:"seen"`
 }
 
-// DutiesPage is what an instance with a replica knows of duties.
+// DutiesPage holds the duties and orders known to an instance with a replica.
 type DutiesPage struct {
 	Duties []DutyStatus  `json:"duties"`
 	Orders []ServerOrder `json:"orders"`
-	// OpenWindows have counts and are not closed, Untaken are closed and not acknowledged.
-	OpenWindows int `json:"open_windows"`
-	Untaken     int `json:"untaken_windows"`
+	// OpenWindows counts the windows with counts that are not closed,
+	// UnacknowledgedWindows the closed ones that are not acknowledged.
+	OpenWindows           int `json:"open_windows"`
+	UnacknowledgedWindows int `json:"untaken_windows"`
 }
--- a/ctl/caller/caller.go
+++ b/ctl/caller/caller.go
@@ -132,7 +132,7 @@
 		req.Header.Set(api.HeaderClass, r.Class)
 	}
 	if r.Key != "" {
-		req.Header.Set(api.HeaderKey, r.Key)
+		req.Header.Set(api.HeaderIdempotencyKey, r.Key)
 	}
 	if r.Deadline > 0 {
 		req.Header.Set(api.HeaderDeadline, strconv.FormatInt(r.Deadline.Milliseconds(), 10))
@@ -192,7 +192,7 @@
 	res.Status = resp.StatusCode
 	res.Outcome = state.Outcome(resp.Header.Get(api.HeaderOutcome))
 	res.RequestID = resp.Header.Get(api.HeaderRequestID)
-	res.Repeat = resp.Header.Get(api.HeaderRepeat) != ""
+	res.Repeat = resp.Header.Get(api.HeaderRecordedAnswer) != ""
 	if resp.StatusCode == http.StatusOK {
 		return res, resp
 	}
--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -174,8 +174,8 @@
 }
 
 // Instances describes all instances.
-func (c *Client) Instances(ctx context.Context) ([]api.Info, error) {
-	return get[[]api.Info](ctx, c, api.PathInstances)
+func (c *Client) Instances(ctx context.Context) ([]api.InstanceInfo, error) {
+	return get[[]api.InstanceInfo](ctx, c, api.PathInstances)
 }
 
 // Servers lists the backend servers.
--- a/ctl/client/orders.go
+++ b/ctl/client/orders.go
@@ -89,10 +89,10 @@
 	}
 }
 
-func countInForce(list []api.Info, generation uint64) int {
+func countInForce(list []api.InstanceInfo, generation uint64) int {
 	n := 0
 	for _, i := range list {
-		if i.Reachable && (i.Generation >= generation || !i.Fresh) {
+		if i.Reachable && (i.Generation >= generation || !i.LeaseFresh) {
 			n++
 		}
 	}
--- a/ctl/commands/bundle.go
+++ b/ctl/commands/bundle.go
@@ -147,7 +147,7 @@
 		return err
 	}
 	return show(cmd, st, func(w io.Writer) {
-		fmt.Fprintf(w, "generation %d, version %d in force, digest %s\n\n", st.Generation, st.Version, st.Digest)
+		fmt.Fprintf(w, "generation %d, version %d in force, digest %s\n\n", st.Generation, st.BundleVersion, st.BundleDigest)
 		fmt.Fprintln(w, "VERSION\tGENERATION\tOPERATOR\tWITHDRAWN\tDIGEST")
 		for _, v := range st.Versions {
 			fmt.Fprintf(w, "%d\t%d\t%s\t%t\t%s\n", v.Version, v.Generation, v.Operator, v.Withdrawn, v.Digest[:16])
--- a/ctl/commands/duties.go
+++ b/ctl/commands/duties.go
@@ -118,7 +118,7 @@
 		}
 	}
 	return c.csv.Write([]string{strconv.FormatInt(r.Window, 10), r.Begin.Format(time.RFC3339), r.End.Format(time.RFC3339), customer,
-		strconv.FormatUint(r.Counts[customer], 10), strconv.FormatBool(r.Taken)})
+		strconv.FormatUint(r.Counts[customer], 10), strconv.FormatBool(r.Acknowledged)})
 }
 
 func (c *csvRows) flush() error {
@@ -129,7 +129,7 @@
 type jsonRows struct{ *json.Encoder }
 
 func (j jsonRows) write(r *api.UsageRecord, customer string) error {
-	return j.Encode(map[string]any{"window": r.Window, "begin": r.Begin, "end": r.End, "customer": customer, "runs": r.Counts[customer], "taken": r.Taken})
+	return j.Encode(map[string]any{"window": r.Window, "begin": r.Begin, "end": r.End, "customer": customer, "runs": r.Counts[customer], "taken": r.Acknowledged})
 }
 
 func (j jsonRows) flush() error { return nil }
@@ -142,9 +142,9 @@
 	return show(cmd, page, func(w io.Writer) {
 		fmt.Fprintln(w, "DUTY\tHOLDER\tTERM\tLAST FENCE")
 		for _, d := range page.Duties {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", d.Duty, d.Holder, d.Term, d.Fence)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", d.Duty, d.Holder, d.Term, d.LastFence)
 		}
-		fmt.Fprintf(w, "\nwindows open\t%d\nwindows not acknowledged\t%d\n", page.OpenWindows, page.Untaken)
+		fmt.Fprintf(w, "\nwindows open\t%d\nwindows not acknowledged\t%d\n", page.OpenWindows, page.UnacknowledgedWindows)
 		if len(page.Orders) > 0 {
 			fmt.Fprintln(w, "\nPOOL\tZONE\tRECLAIMABLE\tORDERED\tSEEN")
 		}
--- a/ctl/commands/views.go
+++ b/ctl/commands/views.go
@@ -85,7 +85,7 @@
 		fmt.Fprintln(w, "NAME\tZONE\tADDRESS\tREPLICA\tGENERATION\tLEASE\tDRAINING\tWAITING\tRUNNING\tREACHABLE")
 		for _, i := range list {
 			lease := "lapsed"
-			if i.Fresh {
+			if i.LeaseFresh {
 				lease = "fresh"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%d\t%s\t%t\t%d\t%d\t%t\n", i.Name, i.Zone, i.Address, i.Replica, i.Generation, lease, i.Draining, i.Waiting, i.Running, i.Reachable)
@@ -105,7 +105,7 @@
 		return err
 	}
 	return show(cmd, st, func(w io.Writer) {
-		fmt.Fprintf(w, "group %x, term %d, commit %d, log from %d, %d calls remembered\n\n", st.Group, st.Term, st.Commit, st.First, st.Calls)
+		fmt.Fprintf(w, "group %x, term %d, commit %d, log from %d, %d calls remembered\n\n", st.Group, st.Term, st.CommitIndex, st.FirstLogIndex, st.RememberedCalls)
 		fmt.Fprintln(w, "ID\tADDRESS\tROLE\tBEHIND\tACTIVE")
 		for _, m := range st.Members {
 			role := "learner"
@@ -116,8 +116,8 @@
 				role = "follower"
 			}
 			behind := uint64(0)
-			if !m.Leader && st.Commit > m.Match {
-				behind = st.Commit - m.Match
+			if !m.Leader && st.CommitIndex > m.MatchIndex {
+				behind = st.CommitIndex - m.MatchIndex
 			}
 			fmt.Fprintf(w, "%x\t%s\t%s\t%d\t%t\n", m.ID, m.Address, role, behind, m.Active)
 		}
--- a/ctl/fake/service.go
+++ b/ctl/fake/service.go
@@ -126,7 +126,7 @@
 	}
 	s.count(1)
 	defer s.count(-1)
-	key := r.Header.Get(api.HeaderKey)
+	key := r.Header.Get(api.HeaderIdempotencyKey)
 	if key == "" {
 		key = "request:" + r.Header.Get(api.HeaderRequestID)
 	}
--- a/ctl/harness/harness.go
+++ b/ctl/harness/harness.go
@@ -305,7 +305,7 @@
 			return false
 		}
 		for _, i := range list {
-			if !i.Fresh || i.Generation < generation {
+			if !i.LeaseFresh || i.Generation < generation {
 				return false
 			}
 		}
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -177,9 +177,9 @@
 		return false
 	}
 	switch r.Error.Type {
-	case api.ErrorIsolated, api.ErrorDraining, api.ErrorNoReplicas:
+	case api.ErrorEntryIsolated, api.ErrorEntryDraining, api.ErrorReplicasUnavailable:
 		return true
-	case api.ErrorAccepted, api.ErrorOpen:
+	case api.ErrorAcceptedNotFinished, api.ErrorCallInProgress:
 		return class.Durable
 	}
 	return false
--- a/ctl/prove/bundles_test.go
+++ b/ctl/prove/bundles_test.go
@@ -102,7 +102,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			return registerOutput{generation: st.Generation, version: st.Version}
+			return registerOutput{generation: st.Generation, version: st.BundleVersion}
 		})
 		return out.generation
 	}
@@ -182,7 +182,7 @@
 				continue
 			}
 			for _, i := range list {
-				if !i.Reachable || !i.Fresh {
+				if !i.Reachable || !i.LeaseFresh {
 					continue
 				}
 				samples++
--- a/daemon/admin/admin.go
+++ b/daemon/admin/admin.go
@@ -38,7 +38,7 @@
 	Replicas  *replica.Client
 	Transport *frame.Transport
 	// Own describes this instance.
-	Own func() api.Info
+	Own func() api.InstanceInfo
 }
 
 // Register adds the frame handler.
@@ -156,9 +156,9 @@
 // Instances asks every instance about itself.
 func (a *Admin) Instances(w http.ResponseWriter, r *http.Request) {
 	list := a.Gossip.Instances()
-	out := make([]api.Info, len(list))
+	out := make([]api.InstanceInfo, len(list))
 	a.fanOut(r.Context(), list, func(ctx context.Context, k int, i membership.Instance) {
-		info := api.Info{Name: i.Name, Zone: i.Zone, Address: i.CallerAddress, Draining: i.Draining}
+		info := api.InstanceInfo{Name: i.Name, Zone: i.Zone, Address: i.CallerAddress, Draining: i.Draining}
 		err := a.Transport.Call(ctx, i.PeerAddress, methodInfo, struct{}{}, &info)
 		info.Reachable = err == nil
 		out[k] = info
--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -153,7 +153,7 @@
 		req.Header.Set("Content-Type", contentType)
 	}
 	if key != "" {
-		req.Header.Set(api.HeaderKey, key)
+		req.Header.Set(api.HeaderIdempotencyKey, key)
 	}
 	resp, err := send(req, t, step)
 	if err != nil {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -184,14 +184,14 @@
 	return nil
 }
 
-func (d *Daemon) info() api.Info {
+func (d *Daemon) info() api.InstanceInfo {
 	cfg := d.holder.Config()
 	waiting, running := d.slots.Load()
-	out := api.Info{Name: d.settings.Instance.Name, Zone: d.settings.Instance.AvailabilityZone, Address: d.settings.Callers.Address,
-		Generation: cfg.Generation, Fresh: d.holder.Fresh(), Draining: d.gossip.Draining(), InFlight: d.entry.InFlight(),
+	out := api.InstanceInfo{Name: d.settings.Instance.Name, Zone: d.settings.Instance.AvailabilityZone, Address: d.settings.Callers.Address,
+		Generation: cfg.Generation, LeaseFresh: d.holder.Fresh(), Draining: d.gossip.Draining(), InFlight: d.entry.InFlight(),
 		Waiting: waiting, Running: running, Replica: d.replica != nil}
 	if cfg.Bundle != nil {
-		out.Version = cfg.Bundle.Version
+		out.BundleVersion = cfg.Bundle.Version
 	}
 	return out
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -188,7 +188,7 @@
 	waitFor(t, "the lease lapsed", func() bool { return !d.holder.Fresh() })
 	announcement := `{"pool":"lumen","id":"e1","address":"127.0.0.1:1","slots":2}`
 	status, _, text := send(t, "POST", url+api.PathAnnounce, map[string]string{"Authorization": "Bearer " + announceToken}, announcement)
-	if status != http.StatusServiceUnavailable || !strings.Contains(text, string(api.ErrorIsolated)) {
+	if status != http.StatusServiceUnavailable || !strings.Contains(text, string(api.ErrorEntryIsolated)) {
 		t.Errorf("announcement: %d %s", status, text)
 	}
 	status, h, text := send(t, "POST", url+api.PathChat, map[string]string{"Authorization": "Bearer " + customerKey}, `{"model":"lumen","messages":[{}]}`)
--- a/daemon/dispatcher/wire.go
+++ b/daemon/dispatcher/wire.go
@@ -43,10 +43,10 @@
 
 // Sync is an entry's regular report about a pool.
 type Sync struct {
-	Pool     string              `msgpack:"p"`
-	Entry    string              `msgpack:"e"`
-	Running  []dispatch.RunningCall  `msgpack:"r,omitempty"`
-	Progress []dispatch.Progress `msgpack:"g,omitempty"`
+	Pool     string                 `msgpack:"p"`
+	Entry    string                 `msgpack:"e"`
+	Running  []dispatch.RunningCall `msgpack:"r,omitempty"`
+	Progress []dispatch.Progress    `msgpack:"g,omitempty"`
 	// FirstToken is the mean time from grant to first token since the last
 	// report; 0 for none.
 	FirstToken time.Duration `msgpack:"f,omitempty"`
--- a/daemon/entry/announce.go
+++ b/daemon/entry/announce.go
@@ -42,7 +42,7 @@
 func (a *Announcer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var m api.Announcement
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnounceBytes)).Decode(&m); err != nil {
-		writeError(w, notRun(http.StatusBadRequest, api.ErrorInvalid, "the announcement is not readable: "+err.Error()))
+		writeError(w, notRun(http.StatusBadRequest, api.ErrorInvalidRequest, "the announcement is not readable: "+err.Error()))
 		return
 	}
 	cfg := a.Entry.holder.Config()
@@ -52,15 +52,15 @@
 	}
 	pool, ok := cfg.Bundle.Pools[m.Pool]
 	if !ok || !tokenFits(r, pool) {
-		writeError(w, notRun(http.StatusUnauthorized, api.ErrorAuth, "the token does not belong to the pool"))
+		writeError(w, notRun(http.StatusUnauthorized, api.ErrorUnknownCustomer, "the token does not belong to the pool"))
 		return
 	}
 	if err := check(&m); err != nil {
-		writeError(w, notRun(http.StatusBadRequest, api.ErrorInvalid, err.Error()))
+		writeError(w, notRun(http.StatusBadRequest, api.ErrorInvalidRequest, err.Error()))
 		return
 	}
 	if !a.Entry.holder.Fresh() || a.Entry.refusing.Load() {
-		writeError(w, notRun(http.StatusServiceUnavailable, api.ErrorIsolated, "this instance can't pass announcements on; use another address").
+		writeError(w, notRun(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this instance can't pass announcements on; use another address").
 			elsewhere(a.Entry.otherAddresses(m.ID)))
 		return
 	}
--- a/daemon/entry/answer.go
+++ b/daemon/entry/answer.go
@@ -67,11 +67,11 @@
 // recorded turns a record into the answer for a repeat.
 func recorded(rec *state.CallRecord) *reply {
 	if rec.Phase != state.PhaseDone || rec.Answer == nil {
-		return failed(unknown(http.StatusConflict, api.ErrorOpen, "a call with this key is in progress, or the entry that ran it was lost").after(time.Second))
+		return failed(unknown(http.StatusConflict, api.ErrorCallInProgress, "a call with this key is in progress, or the entry that ran it was lost").after(time.Second))
 	}
 	a := rec.Answer
 	if a.Truncated {
-		e := unknown(http.StatusConflict, api.ErrorAnswerGone, "the call has ended; its answer was too large to keep")
+		e := unknown(http.StatusConflict, api.ErrorAnswerNotKept, "the call has ended; its answer was too large to keep")
 		e.Outcome = a.Outcome
 		return &reply{err: e, outcome: a.Outcome, repeat: true}
 	}
@@ -86,7 +86,7 @@
 	h.Set(api.HeaderRequestID, requestID)
 	h.Set(api.HeaderOutcome, string(r.outcome))
 	if r.repeat {
-		h.Set(api.HeaderRepeat, "true")
+		h.Set(api.HeaderRecordedAnswer, "true")
 	}
 	if r.err == nil {
 		h.Set("Content-Type", r.contentType)
--- a/daemon/entry/attempt.go
+++ b/daemon/entry/attempt.go
@@ -54,7 +54,7 @@
 	// Attempts, repeats and rounds of recorded calls all come here: without this, one
 	// that ends its servers would end one after the other.
 	if left, held := x.e.keeper.Held(x.c.requestDigest); held {
-		return failed(giveUp(http.StatusServiceUnavailable, api.ErrorQuarantined, quarantine.KeptBack, x.uncertain).after(left))
+		return failed(giveUp(http.StatusServiceUnavailable, api.ErrorRequestQuarantined, quarantine.KeptBack, x.uncertain).after(left))
 	}
 	t := x.c.ticket()
 	t.Attempt = n
@@ -97,7 +97,7 @@
 		x.exclude = append(x.exclude, server)
 		return nil
 	}
-	return failed(giveUp(http.StatusServiceUnavailable, api.ErrorIsolated, "this entry lost its configuration lease", x.uncertain).
+	return failed(giveUp(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this entry lost its configuration lease", x.uncertain).
 		after(time.Second).elsewhere(x.e.otherAddresses(x.c.customer)))
 }
 
@@ -111,7 +111,7 @@
 		return r
 	}
 	if !x.e.mayDispatch(x.c, server) {
-		return failed(notRun(http.StatusServiceUnavailable, api.ErrorIsolated, "this entry lost its configuration lease").after(time.Second))
+		return failed(notRun(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this entry lost its configuration lease").after(time.Second))
 	}
 	return nil
 }
@@ -169,11 +169,11 @@
 func (e *Entry) gaveUp(ctx context.Context, c *call, f *backend.CallError, uncertain bool) *reply {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) || !time.Now().Before(c.deadline):
-		return failed(giveUp(http.StatusGatewayTimeout, api.ErrorExpired, "the deadline passed while the call ran", uncertain))
+		return failed(giveUp(http.StatusGatewayTimeout, api.ErrorDeadlineExpired, "the deadline passed while the call ran", uncertain))
 	case f.Status >= 400 && f.Status < 500:
-		return failed(giveUp(http.StatusBadGateway, api.ErrorBackend, f.Error(), uncertain))
+		return failed(giveUp(http.StatusBadGateway, api.ErrorBackendFailed, f.Error(), uncertain))
 	}
-	return failed(giveUp(http.StatusBadGateway, api.ErrorBackend, f.Error(), uncertain).after(time.Second))
+	return failed(giveUp(http.StatusBadGateway, api.ErrorBackendFailed, f.Error(), uncertain).after(time.Second))
 }
 
 // notGranted is the final answer when no slot was given.
@@ -184,7 +184,7 @@
 	}
 	status, kind := http.StatusServiceUnavailable, api.ErrorRefused
 	if refused.Reason == dispatch.ReasonCustomerRate {
-		status, kind = http.StatusTooManyRequests, api.ErrorRate
+		status, kind = http.StatusTooManyRequests, api.ErrorRateLimited
 	}
 	x := giveUp(status, kind, "not dispatched: "+string(refused.Reason), uncertain).after(refused.RetryAfter)
 	x.Reason = string(refused.Reason)
--- a/daemon/entry/durable.go
+++ b/daemon/entry/durable.go
@@ -28,7 +28,7 @@
 	cmd.Call.Request = &state.StoredRequest{Method: c.method, Path: c.path, ContentType: c.contentType, Body: c.body}
 	res, err := e.replicas.Propose(ctx, cmd)
 	if err != nil {
-		return failed(unknown(http.StatusServiceUnavailable, api.ErrorNoReplicas, "the replicas did not answer; ask again with the same key").
+		return failed(unknown(http.StatusServiceUnavailable, api.ErrorReplicasUnavailable, "the replicas did not answer; ask again with the same key").
 			after(time.Second).elsewhere(e.otherAddresses(c.customer)))
 	}
 	if rep := e.claimResult(c, &res); rep != nil {
@@ -42,7 +42,7 @@
 		answer() // the caller need not wait for what goes on without it
 	}
 	return e.detached(ctx, out, func() *reply { return e.runDurable(c, out, kept) }, func() *reply {
-		x := unknown(http.StatusAccepted, api.ErrorAccepted, "the call is recorded and will be run; ask again with the same key for its answer").after(time.Second)
+		x := unknown(http.StatusAccepted, api.ErrorAcceptedNotFinished, "the call is recorded and will be run; ask again with the same key for its answer").after(time.Second)
 		if r := quarantined.Load(); r != nil {
 			x.Message = "the call is recorded, but " + r.err.Message
 			x.RetryAfterMillis = r.err.RetryAfterMillis
@@ -64,10 +64,10 @@
 		case r.repeat || r.outcome == state.OutcomeUnknown && !c.policy.Idempotent:
 			return r
 		case e.refusing.Load():
-			return failed(unknown(http.StatusAccepted, api.ErrorAccepted, "the call is recorded; another instance will run it").after(time.Second))
+			return failed(unknown(http.StatusAccepted, api.ErrorAcceptedNotFinished, "the call is recorded; another instance will run it").after(time.Second))
 		}
 		log.WithFields(log.Fields{"request_id": c.id, "class": c.class, "step": "durable round", "outcome": string(r.outcome)}).Info("durable call will be tried again")
-		if r.err == nil || r.err.Type != api.ErrorQuarantined {
+		if r.err == nil || r.err.Type != api.ErrorRequestQuarantined {
 			time.Sleep(durablePause)
 			continue
 		}
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -145,11 +145,11 @@
 // admit refuses calls while shutting down or without a fresh configuration.
 func (e *Entry) admit(c *call) *callError {
 	if e.refusing.Load() {
-		return notRun(http.StatusServiceUnavailable, api.ErrorDraining, "this entry is shutting down; use another address").
+		return notRun(http.StatusServiceUnavailable, api.ErrorEntryDraining, "this entry is shutting down; use another address").
 			after(time.Second).elsewhere(e.otherAddresses(c.customer))
 	}
 	if !e.mayServe(c) {
-		return notRun(http.StatusServiceUnavailable, api.ErrorIsolated, "this entry is cut off from the replicas; use another address").
+		return notRun(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this entry is cut off from the replicas; use another address").
 			after(time.Second).elsewhere(e.otherAddresses(c.customer))
 	}
 	return nil
--- a/daemon/entry/execute.go
+++ b/daemon/entry/execute.go
@@ -83,7 +83,7 @@
 		}
 	}()
 	r := e.detached(ctx, out, func() *reply { return e.claimAndRun(wait, c, out) }, func() *reply {
-		return failed(unknown(http.StatusGatewayTimeout, api.ErrorOpen, "the deadline passed; ask again with the same key").after(time.Second))
+		return failed(unknown(http.StatusGatewayTimeout, api.ErrorCallInProgress, "the deadline passed; ask again with the same key").after(time.Second))
 	})
 	select {
 	case rep := <-known:
@@ -98,7 +98,7 @@
 // repeat answers a call whose key is recorded.
 func (e *Entry) repeat(c *call, rec *state.CallRecord) *reply {
 	if rec.RequestDigest != c.digest {
-		return failed(notRun(http.StatusUnprocessableEntity, api.ErrorConflict, "the idempotency key was used for another request"))
+		return failed(notRun(http.StatusUnprocessableEntity, api.ErrorIdempotencyConflict, "the idempotency key was used for another request"))
 	}
 	return recorded(rec)
 }
@@ -133,7 +133,7 @@
 	if err != nil {
 		log.WithError(err).WithFields(log.Fields{"request_id": c.id, "step": "claim"}).Warn("no claim")
 		go e.release(c) // the claim may be committed; this entry will not use it
-		return failed(notRun(http.StatusServiceUnavailable, api.ErrorNoReplicas, "the replicas can't be reached; the call was not sent").
+		return failed(notRun(http.StatusServiceUnavailable, api.ErrorReplicasUnavailable, "the replicas can't be reached; the call was not sent").
 			after(time.Second).elsewhere(e.otherAddresses(c.customer)))
 	}
 	return e.claimResult(c, &res)
@@ -144,13 +144,13 @@
 	case state.CodeOK:
 		return nil
 	case state.CodeExpired:
-		return failed(notRun(http.StatusBadRequest, api.ErrorKey, "the key's time is older than what is remembered, or ahead of the clock; make a new key"))
+		return failed(notRun(http.StatusBadRequest, api.ErrorIdempotencyKey, "the key's time is older than what is remembered, or ahead of the clock; make a new key"))
 	case state.CodeConflict:
-		return failed(notRun(http.StatusUnprocessableEntity, api.ErrorConflict, res.Message))
+		return failed(notRun(http.StatusUnprocessableEntity, api.ErrorIdempotencyConflict, res.Message))
 	case state.CodeExists:
 		return recorded(res.Record)
 	}
-	return failed(notRun(http.StatusServiceUnavailable, api.ErrorNoReplicas, "the claim was refused: "+string(res.Code)).after(time.Second))
+	return failed(notRun(http.StatusServiceUnavailable, api.ErrorReplicasUnavailable, "the claim was refused: "+string(res.Code)).after(time.Second))
 }
 
 func (e *Entry) command(t state.CommandType, c *call) *state.Command {
--- a/daemon/entry/request.go
+++ b/daemon/entry/request.go
@@ -97,7 +97,7 @@
 	c.generation = cfg.Generation
 	customer, ok := e.customerOf(r)
 	if !ok {
-		return c, notRun(http.StatusUnauthorized, api.ErrorAuth, "the bearer key belongs to no customer")
+		return c, notRun(http.StatusUnauthorized, api.ErrorUnknownCustomer, "the bearer key belongs to no customer")
 	}
 	c.customer = customer
 	if err := e.readBody(r, c); err != nil {
@@ -125,10 +125,10 @@
 	data, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return notRun(http.StatusRequestEntityTooLarge, api.ErrorTooLarge, fmt.Sprintf("the body is over the limit of %d bytes", limit))
+		return notRun(http.StatusRequestEntityTooLarge, api.ErrorBodyTooLarge, fmt.Sprintf("the body is over the limit of %d bytes", limit))
 	}
 	if err != nil {
-		return notRun(http.StatusBadRequest, api.ErrorInvalid, "the body could not be read: "+err.Error())
+		return notRun(http.StatusBadRequest, api.ErrorInvalidRequest, "the body could not be read: "+err.Error())
 	}
 	c.body = data
 	return nil
@@ -149,7 +149,7 @@
 		}
 	}
 	if p, ok := b.Pools[c.pool]; !ok || p.Kind != c.kind {
-		return notRun(http.StatusNotFound, api.ErrorPool, fmt.Sprintf("the bundle in force declares no %s %q", c.kind, c.pool))
+		return notRun(http.StatusNotFound, api.ErrorUnknownPool, fmt.Sprintf("the bundle in force declares no %s %q", c.kind, c.pool))
 	}
 	return nil
 }
@@ -157,7 +157,7 @@
 func (c *call) parseChat() *callError {
 	q := &chatRequest{}
 	if err := json.Unmarshal(c.body, &q.fields); err != nil {
-		return notRun(http.StatusBadRequest, api.ErrorInvalid, "the body is not a JSON object: "+err.Error())
+		return notRun(http.StatusBadRequest, api.ErrorInvalidRequest, "the body is not a JSON object: "+err.Error())
 	}
 	for name, into := range map[string]any{"model": &q.model, "stream": &q.stream, "max_tokens": &q.maxTokens, "messages": &q.messages} {
 		raw, ok := q.fields[name]
@@ -165,14 +165,14 @@
 			continue
 		}
 		if err := json.Unmarshal(raw, into); err != nil {
-			return notRun(http.StatusBadRequest, api.ErrorInvalid, fmt.Sprintf("field %q: %v", name, err))
+			return notRun(http.StatusBadRequest, api.ErrorInvalidRequest, fmt.Sprintf("field %q: %v", name, err))
 		}
 	}
 	if q.model == "" || len(q.messages) == 0 {
-		return notRun(http.StatusBadRequest, api.ErrorInvalid, "fields \"model\" and \"messages\" are required")
+		return notRun(http.StatusBadRequest, api.ErrorInvalidRequest, "fields \"model\" and \"messages\" are required")
 	}
 	if q.maxTokens < 0 {
-		return notRun(http.StatusBadRequest, api.ErrorInvalid, "field \"max_tokens\" must not be negative")
+		return notRun(http.StatusBadRequest, api.ErrorInvalidRequest, "field \"max_tokens\" must not be negative")
 	}
 	c.chat = q
 	return nil
@@ -185,7 +185,7 @@
 	}
 	policy, ok := b.Classes[c.class]
 	if !ok {
-		return notRun(http.StatusBadRequest, api.ErrorClass, fmt.Sprintf("the bundle in force declares no class %q", c.class))
+		return notRun(http.StatusBadRequest, api.ErrorUnknownClass, fmt.Sprintf("the bundle in force declares no class %q", c.class))
 	}
 	c.policy = policy
 	return nil
@@ -199,10 +199,10 @@
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms > maxDeadline.Milliseconds() {
-		return notRun(http.StatusBadRequest, api.ErrorInvalid, api.HeaderDeadline+" must be milliseconds from now, at most 3600000")
+		return notRun(http.StatusBadRequest, api.ErrorInvalidRequest, api.HeaderDeadline+" must be milliseconds from now, at most 3600000")
 	}
 	if ms <= 0 {
-		return notRun(http.StatusRequestTimeout, api.ErrorExpired, "the deadline has passed already")
+		return notRun(http.StatusRequestTimeout, api.ErrorDeadlineExpired, "the deadline has passed already")
 	}
 	c.deadline = c.arrived.Add(time.Duration(ms) * time.Millisecond)
 	return nil
@@ -211,13 +211,13 @@
 // findKey checks the idempotency key. A durable idempotent call may come
 // without one; it then gets its request ID as key.
 func (c *call) findKey(r *http.Request) *callError {
-	text := r.Header.Get(api.HeaderKey)
+	text := r.Header.Get(api.HeaderIdempotencyKey)
 	if text == "" && c.policy.Idempotent {
 		text = c.id
 	}
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != 7 {
-		return notRun(http.StatusBadRequest, api.ErrorKey, fmt.Sprintf("class %q needs the header %s with a UUID of version 7", c.class, api.HeaderKey))
+		return notRun(http.StatusBadRequest, api.ErrorIdempotencyKey, fmt.Sprintf("class %q needs the header %s with a UUID of version 7", c.class, api.HeaderIdempotencyKey))
 	}
 	sec, nsec := id.Time().UnixTime()
 	c.key = &state.CallKey{Customer: c.customer, Pool: c.pool, Key: id.String(), Millis: time.Unix(sec, nsec).UnixMilli()}
@@ -225,7 +225,7 @@
 	sum := sha256.Sum256(append([]byte(c.method+" "+c.path+"\n"), c.body...))
 	c.digest = hex.EncodeToString(sum[:16])
 	if c.policy.Durable && len(c.body) > state.MaxStoredRequest {
-		return notRun(http.StatusRequestEntityTooLarge, api.ErrorTooLarge, fmt.Sprintf("the body of a durable call is limited to %d bytes", state.MaxStoredRequest))
+		return notRun(http.StatusRequestEntityTooLarge, api.ErrorBodyTooLarge, fmt.Sprintf("the body of a durable call is limited to %d bytes", state.MaxStoredRequest))
 	}
 	return nil
 }
--- a/daemon/entry/sink.go
+++ b/daemon/entry/sink.go
@@ -183,7 +183,7 @@
 		Choices: []completionChoice{{Message: completionMessage{"assistant", s.text.String()}, FinishReason: s.finished}},
 		Usage:   completionUsage{s.tokens}})
 	if err != nil {
-		return failed(unknown(http.StatusInternalServerError, api.ErrorBackend, err.Error()))
+		return failed(unknown(http.StatusInternalServerError, api.ErrorBackendFailed, err.Error()))
 	}
 	return &reply{status: http.StatusOK, contentType: jsonType, body: body, outcome: state.OutcomeCompleted}
 }
--- a/daemon/replica/serve.go
+++ b/daemon/replica/serve.go
@@ -87,16 +87,16 @@
 func (r *Replica) status() api.GroupStatus {
 	st := r.node.Status()
 	cfg := r.machine.Config()
-	out := api.GroupStatus{Group: r.store.Identity().Group, Term: st.Term, Commit: st.Commit, First: st.First,
-		Calls: r.machine.Calls(), Generation: cfg.Generation, Versions: r.machine.Versions(), Retired: cfg.Retired}
+	out := api.GroupStatus{Group: r.store.Identity().Group, Term: st.Term, CommitIndex: st.Commit, FirstLogIndex: st.First,
+		RememberedCalls: r.machine.Calls(), Generation: cfg.Generation, Versions: r.machine.Versions(), Retired: cfg.Retired}
 	if cfg.Bundle != nil {
-		out.Version = cfg.Bundle.Version
-		out.Digest = cfg.Bundle.Digest()
+		out.BundleVersion = cfg.Bundle.Version
+		out.BundleDigest = cfg.Bundle.Digest()
 	}
 	for _, m := range st.Membership.Members {
 		p := st.Progress[m.ID]
 		self := m.ID == st.ID
-		out.Members = append(out.Members, api.MemberStatus{ID: m.ID, Address: m.Address, Voter: m.Voter, Leader: self, Match: p.Match, Active: p.Active || self})
+		out.Members = append(out.Members, api.MemberStatus{ID: m.ID, Address: m.Address, Voter: m.Voter, Leader: self, MatchIndex: p.Match, Active: p.Active || self})
 	}
 	return out
 }
--- a/daemon/routed_pages.go
+++ b/daemon/routed_pages.go
@@ -52,16 +52,16 @@
 			break
 		}
 		end := x.Window.End(length).UTC()
-		page.Records = append(page.Records, api.UsageRecord{Window: int64(x.Window), Begin: end.Add(-length), End: end, Counts: x.Counts, Taken: x.Taken})
+		page.Records = append(page.Records, api.UsageRecord{Window: int64(x.Window), Begin: end.Add(-length), End: end, Counts: x.Counts, Acknowledged: x.Taken})
 	}
 	writeJSON(w, page)
 }
 
 func (d *Routed) dutiesPage(w http.ResponseWriter, _ *http.Request) {
 	state := d.replica.Duties()
-	page := api.DutiesPage{Duties: []api.DutyStatus{}, Orders: []api.ServerOrder{}, OpenWindows: state.Usage.Open, Untaken: untaken(&state.Usage)}
+	page := api.DutiesPage{Duties: []api.DutyStatus{}, Orders: []api.ServerOrder{}, OpenWindows: state.Usage.Open, UnacknowledgedWindows: untaken(&state.Usage)}
 	for name, x := range state.Duties {
-		page.Duties = append(page.Duties, api.DutyStatus{Duty: name, Holder: x.Lease.Holder, Term: x.Lease.Term, Fence: x.Fence})
+		page.Duties = append(page.Duties, api.DutyStatus{Duty: name, Holder: x.Lease.Holder, Term: x.Lease.Term, LastFence: x.Fence})
 	}
 	slices.SortFunc(page.Duties, func(a, b api.DutyStatus) int { return cmp.Compare(a.Duty, b.Duty) })
 	servers, _ := d.control.Servers()
