--- a/core/dispatch/server.go
+++ b/core/dispatch/server.go
@@ -13,7 +13,8 @@
 	// ServerTTL is how long an announcement is valid.
 	ServerTTL = 3 * time.Second
 	// maxReportLag is the most by which a server's load report may lag.
-	maxReportLag  = 3 * time.Second
+	maxReportLag = 3 * time.Second
+	// peakInterval is the resolution at which the load is remembered over maxReportLag.
 	peakInterval  = 250 * time.Millisecond
 	peakIntervals = int(maxReportLag / peakInterval)
 	// tokenRateAlpha is the weight of a new sample in the moving average of the token
@@ -27,13 +28,14 @@
 	maxPrefixBonus = 0.3
 	// prefixHalfLife is the half-life of the assumption that an announced prefix is
 	// still cached.
-	prefixHalfLife  = 60 * time.Second
+	prefixHalfLife = 60 * time.Second
+	// maxPrefixes is the most cached prefixes remembered of one server.
 	maxPrefixes     = 4096
 	minFaultBackoff = 500 * time.Millisecond
 	maxFaultBackoff = 10 * time.Second
 )
 
-// server is a backend server as the dispatcher sees it.
+// server is the dispatcher's state of a backend server.
 type server struct {
 	ServerInfo
 	lastAnnounced time.Time
@@ -60,12 +62,12 @@
 
 // recordPeak updates the peak of the current interval.
 func (s *server) recordPeak(now time.Time) {
-	slot := now.UnixMilli() / peakInterval.Milliseconds()
-	for s.peakIndex < slot {
-		s.peakIndex = max(s.peakIndex+1, slot-int64(peakIntervals))
+	interval := now.UnixMilli() / peakInterval.Milliseconds()
+	for s.peakIndex < interval {
+		s.peakIndex = max(s.peakIndex+1, interval-int64(peakIntervals))
 		s.peaks[s.peakIndex%int64(peakIntervals)] = s.granted
 	}
-	i := slot % int64(peakIntervals)
+	i := interval % int64(peakIntervals)
 	s.peaks[i] = max(s.peaks[i], s.granted)
 }
 
@@ -121,7 +123,7 @@
 	return now.Sub(s.lastAnnounced) <= ServerTTL && !now.Before(s.blockedUntil)
 }
 
-// allows reports whether the server's announced limit allows a request now.
+// allowsRequest reports whether the server's announced limit allows a request now.
 func (s *server) allowsRequest(now time.Time) bool {
 	return s.RequestsPerSecond == nil || s.requestBucket.Tokens(now, *s.RequestsPerSecond) >= 1
 }
