--- a/ctl/prove/red.sh
+++ b/ctl/prove/red.sh
@@ -40,7 +40,7 @@
 broken resume-from-start    daemon/entry/attempt.go        's/backend\.Resume\(ctx, t, events\)/backend.Resume(ctx, t, 0)/;s/text, before := out\.partial\(\)/text, before := "", 0/' prove TestAnswersWhole
 broken last-writer-wins     core/state/orders.go           's/if v == nil \{/if v == nil || v.Digest != o.Digest {/;s/if o\.Version <= s\.highest/if o.Version < s.highest/' prove TestOperatorsRace
 broken nothing-persisted    daemon/replica/replica.go      's/if err := r\.store\.Append\(rd\.HardState, rd\.Entries\); err != nil/if err := error(nil); err != nil/' prove TestRestartAfterManyChanges
-broken trusts-dispatcher    daemon/scheduler/scheduler.go  's/silenceLimit = 700 \* time\.Millisecond/silenceLimit = time.Hour/' prove TestFrozenDispatcher
+broken trusts-dispatcher    daemon/scheduler/scheduler.go  's/dispatcherTimeout = 700 \* time\.Millisecond/dispatcherTimeout = time.Hour/' prove TestFrozenDispatcher
 broken no-pre-vote          core/raft/node.go              's/n\.campaign\(PreCandidate, false\)/n.campaign(Candidate, false)/' core TestIsolatedLeaderStepsDown
 broken no-quorum-check      core/raft/node.go              's/if !n\.quorumActive\(\) \{/if false {/'                      core   TestIsolatedLeaderStepsDown
 broken no-log-check         core/raft/replication.go       's/!ok \|\| t != m\.LogTerm/!ok || t == 0/'                      core   TestSafetyUnderFaults
--- a/daemon/baseline/baseline.go
+++ b/daemon/baseline/baseline.go
@@ -107,8 +107,8 @@
 // slot is a grant that nobody counts.
 type slot struct{}
 
-// Token implements scheduler.Slot.
-func (slot) Token(time.Time) {}
+// ObserveToken implements scheduler.Slot.
+func (slot) ObserveToken(time.Time) {}
 
 // Finish implements scheduler.Slot.
 func (slot) Finish(dispatch.Usage) {}
--- a/daemon/dispatcher/dispatcher.go
+++ b/daemon/dispatcher/dispatcher.go
@@ -156,7 +156,7 @@
 		actions := p.core.Advance(time.Now())
 		p.mu.Unlock()
 		for entry, a := range split(actions) {
-			if err := s.transport.Send(entry, MethodActions, &Actions{Pool: p.name, Do: a}); err != nil {
+			if err := s.transport.Send(entry, MethodActions, &Actions{Pool: p.name, Actions: a}); err != nil {
 				log.WithError(err).WithField("step", "send grants").WithField("peer", entry).Debug("entry will sync")
 			}
 		}
@@ -167,13 +167,13 @@
 func split(a dispatch.Actions) map[string]dispatch.Actions {
 	out := map[string]dispatch.Actions{}
 	for _, g := range a.Grants {
-		to := PeerOf(g.ID.Entry)
+		to := PeerAddress(g.ID.Entry)
 		x := out[to]
 		x.Grants = append(x.Grants, g)
 		out[to] = x
 	}
 	for _, r := range a.Refusals {
-		to := PeerOf(r.ID.Entry)
+		to := PeerAddress(r.ID.Entry)
 		x := out[to]
 		x.Refusals = append(x.Refusals, r)
 		out[to] = x
@@ -184,8 +184,8 @@
 // EntryName names an entry process in ticket IDs.
 func EntryName(peerAddress, process string) string { return peerAddress + "#" + process }
 
-// PeerOf returns the peer address of an entry name.
-func PeerOf(entry string) string {
+// PeerAddress returns the peer address of an entry name.
+func PeerAddress(entry string) string {
 	address, _, _ := strings.Cut(entry, "#")
 	return address
 }
@@ -261,7 +261,7 @@
 		}
 		waiting = core.WaitingForEntry(m.Entry)
 	})
-	_ = s.transport.Send(from, MethodSynced, &Synced{Pool: m.Pool, Waiting: waiting})
+	_ = s.transport.Send(from, MethodSyncReply, &SyncReply{Pool: m.Pool, Waiting: waiting})
 }
 
 func (s *Service) announce(_ string, m *Announce) {
--- a/daemon/dispatcher/wire.go
+++ b/daemon/dispatcher/wire.go
@@ -12,14 +12,14 @@
 
 // Frame methods between entries and dispatchers.
 const (
-	MethodEnqueue  = "dispatch.enqueue"
-	MethodCancel   = "dispatch.cancel"
-	MethodFinish   = "dispatch.finish"
-	MethodSync     = "dispatch.sync"
-	MethodActions  = "dispatch.actions"
-	MethodSynced   = "dispatch.synced"
-	MethodAnnounce = "dispatch.announce"
-	MethodView     = "dispatch.view"
+	MethodEnqueue   = "dispatch.enqueue"
+	MethodCancel    = "dispatch.cancel"
+	MethodFinish    = "dispatch.finish"
+	MethodSync      = "dispatch.sync"
+	MethodActions   = "dispatch.actions"
+	MethodSyncReply = "dispatch.synced"
+	MethodAnnounce  = "dispatch.announce"
+	MethodView      = "dispatch.view"
 )
 
 // Enqueue brings tickets to a pool's dispatcher.
@@ -52,17 +52,17 @@
 	FirstToken time.Duration `msgpack:"f,omitempty"`
 }
 
-// Synced answers a Sync with what the dispatcher holds for the entry, so that
+// SyncReply answers a Sync with what the dispatcher holds for the entry, so that
 // lost tickets are noticed.
-type Synced struct {
+type SyncReply struct {
 	Pool    string `msgpack:"p"`
 	Waiting int    `msgpack:"w"`
 }
 
 // Actions are grants and refusals for one entry.
 type Actions struct {
-	Pool string           `msgpack:"p"`
-	Do   dispatch.Actions `msgpack:"a"`
+	Pool    string           `msgpack:"p"`
+	Actions dispatch.Actions `msgpack:"a"`
 }
 
 // Announce passes a backend server's announcement on.
--- a/daemon/entry/attempt.go
+++ b/daemon/entry/attempt.go
@@ -292,7 +292,7 @@
 			return n, err
 		}
 		n++
-		slot.Token(time.Now())
+		slot.ObserveToken(time.Now())
 		out.event(ev)
 	}
 }
--- a/daemon/scheduler/scheduler.go
+++ b/daemon/scheduler/scheduler.go
@@ -1,7 +1,7 @@
-// Package scheduler is the entry's side of dispatching: it sends tickets to
-// the pool's dispatcher, waits for grants, and moves everything to the next
-// dispatcher when one is lost. The truth about waiting and running calls stays
-// here, with the callers' connections.
+// Package scheduler is the client of the dispatcher in an entry: it sends tickets
+// to a pool's dispatcher, waits for grants, and sends all tickets and running calls
+// to the next dispatcher when one fails. The entry's state of waiting and running
+// calls is authoritative, since the entry holds the callers' connections.
 package scheduler
 
 import (
@@ -21,40 +21,43 @@
 	"cardamomwick.example/daemon/loop"
 )
 
-// Timing of the link to a dispatcher.
+// Timing of the messages to a dispatcher.
 const (
+	// syncPeriod is the time between reports.
 	syncPeriod = 200 * time.Millisecond
-	// silenceLimit is how long a dispatcher may leave reports unanswered.
-	silenceLimit = 700 * time.Millisecond
-	// distrust is how long a lost dispatcher is passed over here.
-	distrust = 3 * time.Second
-	// settle is how young a ticket may be to be missing at the dispatcher.
-	settle = 300 * time.Millisecond
+	// dispatcherTimeout is how long a report may be unanswered before the dispatcher
+	// counts as lost.
+	dispatcherTimeout = 700 * time.Millisecond
+	// lostDispatcherBackoff is how long this entry does not select a lost dispatcher.
+	lostDispatcherBackoff = 3 * time.Second
+	// ticketGrace is how long a ticket may be missing at the dispatcher before the
+	// waiting tickets are sent again: it may still be on its way.
+	ticketGrace = 300 * time.Millisecond
 )
 
-// RefusedError is a dispatcher's refusal; the call was not run.
+// RefusedError means that the dispatcher refused the call and it was not run.
 type RefusedError struct {
 	Reason     dispatch.Reason
 	RetryAfter time.Duration
 }
 
-// Error names the reason.
+// Error implements error.
 func (e *RefusedError) Error() string { return "refused by the dispatcher: " + string(e.Reason) }
 
-// Slot is a granted place on a backend server.
+// Slot is a granted slot of a backend server.
 type Slot interface {
-	// Token notes a generated token.
-	Token(now time.Time)
-	// Finish gives the slot back.
+	// ObserveToken counts a token received at the given time.
+	ObserveToken(now time.Time)
+	// Finish releases the slot.
 	Finish(u dispatch.Usage)
 }
 
-// Ranker orders the instances for a key; gossip.Service is one.
+// Ranker orders the instances for a key by preference; gossip.Service implements it.
 type Ranker interface {
 	Rank(key string) []membership.Instance
 }
 
-// Scheduler is a suture service.
+// Scheduler queues an entry's calls at the dispatchers. It is a suture service.
 type Scheduler struct {
 	transport *frame.Transport
 	ranker    Ranker
@@ -62,52 +65,52 @@
 	sequence  atomic.Uint64
 
 	mu    sync.Mutex
-	pools map[string]*link
-	// lost maps dispatchers' peer addresses to when they were lost.
-	lost map[string]time.Time
+	pools map[string]*poolState
+	// lostAt holds when each lost dispatcher was last found lost, by peer address.
+	lostAt map[string]time.Time
 }
 
-// link is this entry's relation to one pool.
-type link struct {
-	pool       string
+// poolState holds the calls of one pool and the state of its dispatcher.
+type poolState struct {
+	name       string
 	dispatcher string
 	calls      map[uint64]*Call
-	// unanswered is when the oldest unanswered report was sent.
-	unanswered time.Time
-	progress   map[string]*dispatch.Progress
-	firstSum   time.Duration
-	firstCount int
+	// unansweredSince is when the oldest unanswered report was sent, zero if none is.
+	unansweredSince time.Time
+	progress        map[string]*dispatch.Progress
+	firstTokenSum   time.Duration
+	firstTokenCount int
 }
 
-// Call is one ticket's way through the dispatcher.
+// Call is a call that waits for a grant or holds a slot. It implements Slot.
 type Call struct {
-	s      *Scheduler
-	link   *link
-	ticket dispatch.Ticket
-	// arrived and deadline are on this entry's clock.
+	scheduler *Scheduler
+	pool      *poolState
+	ticket    dispatch.Ticket
+	// arrived and deadline are times of this entry's clock.
 	arrived  time.Time
 	deadline time.Time
-	queued   time.Time
-	answer   chan answer
+	enqueued time.Time
+	result   chan result
 	// The fields below are guarded by Scheduler.mu.
-	server  string
-	granted time.Time
-	tokens  int
-	busyAt  time.Time
-	over    bool
+	server        string
+	granted       time.Time
+	tokens        int
+	progressSince time.Time
+	finished      bool
 }
 
-type answer struct {
+type result struct {
 	grant   dispatch.Grant
 	refusal *RefusedError
 }
 
-// New registers the frame handlers. process tells this start of the daemon
-// from others.
+// New returns a scheduler and registers its frame handlers. process identifies this
+// start of the daemon.
 func New(t *frame.Transport, r Ranker, process string) *Scheduler {
-	s := &Scheduler{transport: t, ranker: r, entry: dispatcher.EntryName(t.Self(), process), pools: map[string]*link{}, lost: map[string]time.Time{}}
+	s := &Scheduler{transport: t, ranker: r, entry: dispatcher.EntryName(t.Self(), process), pools: map[string]*poolState{}, lostAt: map[string]time.Time{}}
 	t.HandleOneWay(dispatcher.MethodActions, s.handleActions)
-	t.HandleOneWay(dispatcher.MethodSynced, s.handleSynced)
+	t.HandleOneWay(dispatcher.MethodSyncReply, s.handleSyncReply)
 	t.OnDown(s.peerDown)
 	return s
 }
@@ -115,23 +118,24 @@
 // String names the service in the supervisor's log.
 func (s *Scheduler) String() string { return "scheduler" }
 
-// Serve reports to the dispatchers until the context ends.
+// Serve checks the dispatchers and reports to them until the context ends.
 func (s *Scheduler) Serve(ctx context.Context) error {
 	return loop.Every(ctx, syncPeriod, func(now time.Time) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for _, l := range s.pools {
-			s.checkDispatcher(now, l)
-			s.report(now, l)
+		for _, ps := range s.pools {
+			s.checkDispatcher(now, ps)
+			s.sendReport(now, ps)
 		}
 	})
 }
 
-// choose returns the pool's dispatcher in this entry's view.
-func (s *Scheduler) choose(now time.Time, pool string) string {
+// selectDispatcher returns the address of the first-ranked dispatcher that was not
+// lost recently. If all were, it returns the first, without members its own address.
+func (s *Scheduler) selectDispatcher(now time.Time, pool string) string {
 	ranked := s.ranker.Rank(pool)
 	for _, i := range ranked {
-		if at, ok := s.lost[i.PeerAddress]; !ok || now.Sub(at) > distrust {
+		if at, ok := s.lostAt[i.PeerAddress]; !ok || now.Sub(at) > lostDispatcherBackoff {
 			return i.PeerAddress
 		}
 	}
@@ -141,212 +145,221 @@
 	return s.transport.Self()
 }
 
-func (s *Scheduler) link(now time.Time, pool string) *link {
-	l := s.pools[pool]
-	if l == nil {
-		l = &link{pool: pool, calls: map[uint64]*Call{}, progress: map[string]*dispatch.Progress{}}
-		l.dispatcher = s.choose(now, pool)
-		s.pools[pool] = l
+// poolState returns the state of a pool, which it creates on first use.
+func (s *Scheduler) poolState(now time.Time, pool string) *poolState {
+	ps := s.pools[pool]
+	if ps == nil {
+		ps = &poolState{name: pool, calls: map[uint64]*Call{}, progress: map[string]*dispatch.Progress{}}
+		ps.dispatcher = s.selectDispatcher(now, pool)
+		s.pools[pool] = ps
 	}
-	return l
+	return ps
 }
 
-// checkDispatcher moves to another dispatcher when the current one is silent
-// or no longer the first choice.
-func (s *Scheduler) checkDispatcher(now time.Time, l *link) {
-	if !l.unanswered.IsZero() && now.Sub(l.unanswered) > silenceLimit {
-		s.lost[l.dispatcher] = now
-		l.unanswered = time.Time{}
+// checkDispatcher switches to another dispatcher when the current one does not
+// answer or is no longer the first choice.
+func (s *Scheduler) checkDispatcher(now time.Time, ps *poolState) {
+	if !ps.unansweredSince.IsZero() && now.Sub(ps.unansweredSince) > dispatcherTimeout {
+		s.lostAt[ps.dispatcher] = now
+		ps.unansweredSince = time.Time{}
 	}
-	if d := s.choose(now, l.pool); d != l.dispatcher {
-		s.move(now, l, d)
+	if d := s.selectDispatcher(now, ps.name); d != ps.dispatcher {
+		s.switchDispatcher(now, ps, d)
 	}
 }
 
-// move sends all calls of a pool to another dispatcher, with their age, so
-// that their order is kept.
-func (s *Scheduler) move(now time.Time, l *link, to string) {
-	log.WithField("pool", l.pool).WithField("peer", to).WithField("previous", l.dispatcher).Info("dispatcher changed")
-	l.dispatcher = to
-	l.unanswered = time.Time{}
-	s.report(now, l)
-	s.resend(now, l)
+// switchDispatcher sends all calls of a pool to another dispatcher. Tickets carry
+// their age, so their order is kept.
+func (s *Scheduler) switchDispatcher(now time.Time, ps *poolState, to string) {
+	log.WithField("pool", ps.name).WithField("peer", to).WithField("previous", ps.dispatcher).Info("dispatcher changed")
+	ps.dispatcher = to
+	ps.unansweredSince = time.Time{}
+	s.sendReport(now, ps)
+	s.resend(now, ps)
 }
 
+// peerDown marks a dispatcher as lost when the connection to it breaks.
 func (s *Scheduler) peerDown(address string) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost[address] = now
-	for _, l := range s.pools {
-		if l.dispatcher == address {
-			if d := s.choose(now, l.pool); d != address {
-				s.move(now, l, d)
+	s.lostAt[address] = now
+	for _, ps := range s.pools {
+		if ps.dispatcher == address {
+			if d := s.selectDispatcher(now, ps.name); d != address {
+				s.switchDispatcher(now, ps, d)
 			}
 		}
 	}
 }
 
-func (s *Scheduler) resend(now time.Time, l *link) {
+// resend sends all waiting tickets of a pool to its dispatcher.
+func (s *Scheduler) resend(now time.Time, ps *poolState) {
 	var tickets []dispatch.Ticket
-	for _, c := range l.calls {
+	for _, c := range ps.calls {
 		if c.server == "" {
-			tickets = append(tickets, c.current(now))
+			tickets = append(tickets, c.currentTicket(now))
 		}
 	}
 	if len(tickets) > 0 {
-		_ = s.transport.Send(l.dispatcher, dispatcher.MethodEnqueue, &dispatcher.Enqueue{Pool: l.pool, Tickets: tickets})
+		_ = s.transport.Send(ps.dispatcher, dispatcher.MethodEnqueue, &dispatcher.Enqueue{Pool: ps.name, Tickets: tickets})
 	}
 }
 
-// current returns the ticket with its age as of now.
-func (c *Call) current(now time.Time) dispatch.Ticket {
+// currentTicket returns the ticket with its age and remaining time as of now.
+func (c *Call) currentTicket(now time.Time) dispatch.Ticket {
 	t := c.ticket
 	t.Age = now.Sub(c.arrived)
 	t.Remaining = c.deadline.Sub(now)
 	return t
 }
 
-// report sends what runs and how fast. An idle pool sends nothing.
-func (s *Scheduler) report(now time.Time, l *link) {
-	if len(l.calls) == 0 && len(l.progress) == 0 {
-		l.unanswered = time.Time{}
+// sendReport sends a pool's running calls and their progress to the dispatcher. It
+// sends nothing if there are neither calls nor progress.
+func (s *Scheduler) sendReport(now time.Time, ps *poolState) {
+	if len(ps.calls) == 0 && len(ps.progress) == 0 {
+		ps.unansweredSince = time.Time{}
 		return
 	}
-	m := dispatcher.Sync{Pool: l.pool, Entry: s.entry}
-	for _, c := range l.calls {
+	m := dispatcher.Sync{Pool: ps.name, Entry: s.entry}
+	for _, c := range ps.calls {
 		if c.server != "" {
-			c.settleProgress(now)
-			m.Running = append(m.Running, dispatch.RunningCall{Ticket: c.current(now), Server: c.server})
+			c.collectProgress(now)
+			m.Running = append(m.Running, dispatch.RunningCall{Ticket: c.currentTicket(now), Server: c.server})
 		}
 	}
-	for _, p := range l.progress {
+	for _, p := range ps.progress {
 		m.Progress = append(m.Progress, *p)
 	}
-	l.progress = map[string]*dispatch.Progress{}
-	if l.firstCount > 0 {
-		m.FirstToken = l.firstSum / time.Duration(l.firstCount)
-		l.firstSum, l.firstCount = 0, 0
+	ps.progress = map[string]*dispatch.Progress{}
+	if ps.firstTokenCount > 0 {
+		m.FirstToken = ps.firstTokenSum / time.Duration(ps.firstTokenCount)
+		ps.firstTokenSum, ps.firstTokenCount = 0, 0
 	}
-	if l.unanswered.IsZero() {
-		l.unanswered = now
+	if ps.unansweredSince.IsZero() {
+		ps.unansweredSince = now
 	}
-	_ = s.transport.Send(l.dispatcher, dispatcher.MethodSync, &m)
+	_ = s.transport.Send(ps.dispatcher, dispatcher.MethodSync, &m)
 }
 
-// settleProgress moves a stream's tokens into the pool's report.
-func (c *Call) settleProgress(now time.Time) {
-	if c.busyAt.IsZero() {
+// collectProgress adds a call's tokens and generating time since the last report to
+// the pool's progress.
+func (c *Call) collectProgress(now time.Time) {
+	if c.progressSince.IsZero() {
 		return
 	}
-	p := c.link.progress[c.server]
+	p := c.pool.progress[c.server]
 	if p == nil {
 		p = &dispatch.Progress{Server: c.server}
-		c.link.progress[c.server] = p
+		c.pool.progress[c.server] = p
 	}
 	p.Tokens += c.tokens
-	p.Busy += now.Sub(c.busyAt)
+	p.Busy += now.Sub(c.progressSince)
 	c.tokens = 0
-	c.busyAt = now
+	c.progressSince = now
 }
 
-func (s *Scheduler) handleSynced(from string, body []byte) {
-	var m dispatcher.Synced
+// handleSyncReply sends the waiting tickets again if the dispatcher holds fewer of
+// them than it should.
+func (s *Scheduler) handleSyncReply(from string, body []byte) {
+	var m dispatcher.SyncReply
 	if wire.Decode(body, &m) != nil {
 		return
 	}
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.pools[m.Pool]
-	if l == nil || l.dispatcher != from {
+	ps := s.pools[m.Pool]
+	if ps == nil || ps.dispatcher != from {
 		return
 	}
-	l.unanswered = time.Time{}
-	settled := 0
-	for _, c := range l.calls {
-		if c.server == "" && now.Sub(c.queued) > settle {
-			settled++
+	ps.unansweredSince = time.Time{}
+	overdue := 0
+	for _, c := range ps.calls {
+		if c.server == "" && now.Sub(c.enqueued) > ticketGrace {
+			overdue++
 		}
 	}
-	if settled > m.Waiting {
-		s.resend(now, l)
+	if overdue > m.Waiting {
+		s.resend(now, ps)
 	}
 }
 
 func (s *Scheduler) handleActions(from string, body []byte) {
 	var m dispatcher.Actions
 	if err := wire.Decode(body, &m); err != nil {
-		log.WithError(err).WithField("step", "decode grants").WithField("peer", from).Warn("message dropped")
+		log.WithError(err).WithField("step", "decode actions").WithField("peer", from).Warn("message dropped")
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, g := range m.Do.Grants {
-		s.takeGrant(from, m.Pool, g)
+	for _, g := range m.Actions.Grants {
+		s.handleGrant(from, m.Pool, g)
 	}
-	for _, r := range m.Do.Refusals {
-		s.takeRefusal(m.Pool, r)
+	for _, r := range m.Actions.Refusals {
+		s.handleRefusal(m.Pool, r)
 	}
 }
 
-// takeGrant starts a call, or gives the slot back when the call is gone or
-// runs already by another dispatcher's grant.
-func (s *Scheduler) takeGrant(from, pool string, g dispatch.Grant) {
-	c := s.find(pool, g.ID)
+// handleGrant passes a grant to its call, or releases the slot if the call has ended
+// or already runs under another dispatcher's grant.
+func (s *Scheduler) handleGrant(from, pool string, g dispatch.Grant) {
+	c := s.findCall(pool, g.ID)
 	if c == nil || c.server != "" {
 		_ = s.transport.Send(from, dispatcher.MethodFinish, &dispatcher.Finish{Pool: pool, ID: g.ID})
 		return
 	}
 	c.server = g.Server
 	c.granted = time.Now()
-	c.answer <- answer{grant: g}
+	c.result <- result{grant: g}
 }
 
-func (s *Scheduler) takeRefusal(pool string, r dispatch.Refusal) {
-	c := s.find(pool, r.ID)
+// handleRefusal ends a waiting call with the refusal.
+func (s *Scheduler) handleRefusal(pool string, r dispatch.Refusal) {
+	c := s.findCall(pool, r.ID)
 	if c == nil || c.server != "" {
 		return
 	}
-	c.end()
-	c.answer <- answer{refusal: &RefusedError{r.Reason, r.RetryAfter}}
+	c.remove()
+	c.result <- result{refusal: &RefusedError{r.Reason, r.RetryAfter}}
 }
 
-func (s *Scheduler) find(pool string, id dispatch.TicketID) *Call {
-	l := s.pools[pool]
-	if l == nil || id.Entry != s.entry {
+// findCall returns the call of a ticket of this process, nil if it has ended.
+func (s *Scheduler) findCall(pool string, id dispatch.TicketID) *Call {
+	ps := s.pools[pool]
+	if ps == nil || id.Entry != s.entry {
 		return nil
 	}
-	return l.calls[id.Sequence]
+	return ps.calls[id.Sequence]
 }
 
-// end forgets a call; the lock is held.
-func (c *Call) end() {
-	c.over = true
-	delete(c.link.calls, c.ticket.ID.Sequence)
+// remove deletes a call from its pool. Scheduler.mu must be held.
+func (c *Call) remove() {
+	c.finished = true
+	delete(c.pool.calls, c.ticket.ID.Sequence)
 }
 
-// Acquire queues a ticket and waits for a grant. arrived is when the caller's
-// request came, so that later attempts keep their place.
+// Acquire queues a ticket and waits for a grant. arrived is when the caller's request
+// was received, so that later attempts keep their place in the queue.
 func (s *Scheduler) Acquire(ctx context.Context, pool string, t dispatch.Ticket, arrived, deadline time.Time) (Slot, dispatch.Grant, error) {
 	now := time.Now()
 	t.ID = dispatch.TicketID{Entry: s.entry, Sequence: s.sequence.Add(1)}
-	c := &Call{s: s, ticket: t, arrived: arrived, deadline: deadline, queued: now, answer: make(chan answer, 1)}
+	c := &Call{scheduler: s, ticket: t, arrived: arrived, deadline: deadline, enqueued: now, result: make(chan result, 1)}
 	s.mu.Lock()
-	c.link = s.link(now, pool)
-	c.link.calls[t.ID.Sequence] = c
-	to := c.link.dispatcher
+	c.pool = s.poolState(now, pool)
+	c.pool.calls[t.ID.Sequence] = c
+	to := c.pool.dispatcher
 	s.mu.Unlock()
-	_ = s.transport.Send(to, dispatcher.MethodEnqueue, &dispatcher.Enqueue{Pool: pool, Tickets: []dispatch.Ticket{c.current(now)}})
-	late := time.NewTimer(time.Until(deadline))
-	defer late.Stop()
+	_ = s.transport.Send(to, dispatcher.MethodEnqueue, &dispatcher.Enqueue{Pool: pool, Tickets: []dispatch.Ticket{c.currentTicket(now)}})
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
 	select {
-	case a := <-c.answer:
-		if a.refusal != nil {
-			return nil, dispatch.Grant{}, a.refusal
+	case r := <-c.result:
+		if r.refusal != nil {
+			return nil, dispatch.Grant{}, r.refusal
 		}
-		return c, a.grant, nil
-	case <-late.C:
+		return c, r.grant, nil
+	case <-timeout.C:
 		c.Finish(dispatch.Usage{})
 		return nil, dispatch.Grant{}, &RefusedError{dispatch.ReasonDeadline, time.Second}
 	case <-ctx.Done():
@@ -355,45 +368,45 @@
 	}
 }
 
-// Token notes a generated token.
-func (c *Call) Token(now time.Time) {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if c.busyAt.IsZero() {
-		c.link.firstSum += now.Sub(c.granted)
-		c.link.firstCount++
-		c.busyAt = now
+// ObserveToken counts a received token; the first one gives the time to first token.
+func (c *Call) ObserveToken(now time.Time) {
+	c.scheduler.mu.Lock()
+	defer c.scheduler.mu.Unlock()
+	if c.progressSince.IsZero() {
+		c.pool.firstTokenSum += now.Sub(c.granted)
+		c.pool.firstTokenCount++
+		c.progressSince = now
 		return
 	}
 	c.tokens++
 }
 
-// Finish gives the slot back, or withdraws the ticket when it still waits.
+// Finish releases the slot, or cancels the ticket if it still waits.
 func (c *Call) Finish(u dispatch.Usage) {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if c.over {
+	c.scheduler.mu.Lock()
+	defer c.scheduler.mu.Unlock()
+	if c.finished {
 		return
 	}
 	waiting := c.server == ""
 	if !waiting {
-		c.settleProgress(time.Now())
+		c.collectProgress(time.Now())
 	}
-	c.end()
-	to := c.link.dispatcher
+	c.remove()
+	to := c.pool.dispatcher
 	if waiting {
-		_ = c.s.transport.Send(to, dispatcher.MethodCancel, &dispatcher.Cancel{Pool: c.link.pool, ID: c.ticket.ID})
+		_ = c.scheduler.transport.Send(to, dispatcher.MethodCancel, &dispatcher.Cancel{Pool: c.pool.name, ID: c.ticket.ID})
 		return
 	}
-	_ = c.s.transport.Send(to, dispatcher.MethodFinish, &dispatcher.Finish{Pool: c.link.pool, ID: c.ticket.ID, Usage: u})
+	_ = c.scheduler.transport.Send(to, dispatcher.MethodFinish, &dispatcher.Finish{Pool: c.pool.name, ID: c.ticket.ID, Usage: u})
 }
 
-// Load returns the waiting and running calls of this entry.
+// Load returns the numbers of this entry's waiting and running calls.
 func (s *Scheduler) Load() (waiting, running int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.pools {
-		for _, c := range l.calls {
+	for _, ps := range s.pools {
+		for _, c := range ps.calls {
 			if c.server == "" {
 				waiting++
 				continue
