--- a/daemon/dispatcher/dispatcher.go
+++ b/daemon/dispatcher/dispatcher.go
@@ -16,17 +16,20 @@
 )
 
 const (
+	// tickPeriod is how often pools with waiting tickets are advanced even without a
+	// message.
 	tickPeriod = 20 * time.Millisecond
-	// entryTTL is how long an entry may be silent before its grants are freed.
+	// entryTTL is how long an entry may be silent before its tickets are removed and its
+	// slots released.
 	entryTTL = 1500 * time.Millisecond
-	// idleTTL is how long a pool without tickets and announcements is kept.
+	// idleTTL is how long a pool without tickets and messages is kept.
 	idleTTL = time.Minute
-	// maxPools bounds what peers may make us create.
+	// maxPools limits the pools that peers' messages may create.
 	maxPools = 1024
 )
 
-// Service holds the pools that this instance dispatches. It is a suture
-// service.
+// Service dispatches the pools for which this instance is the dispatcher. It is a
+// suture service.
 type Service struct {
 	transport *frame.Transport
 	mu        sync.Mutex
@@ -34,18 +37,19 @@
 	policy    dispatch.Policy
 }
 
-// pool is one dispatched pool; mu guards its fields.
+// pool is a dispatched pool with the entries that use it. mu guards core, entries and
+// lastUsed.
 type pool struct {
-	name    string
-	mu      sync.Mutex
-	core    *dispatch.Pool
-	entries map[string]time.Time
-	used    time.Time
-	wake    chan struct{}
-	dropped chan struct{}
+	name     string
+	mu       sync.Mutex
+	core     *dispatch.Pool
+	entries  map[string]time.Time
+	lastUsed time.Time
+	wake     chan struct{}
+	removed  chan struct{}
 }
 
-// New registers the frame handlers.
+// New returns a service and registers its frame handlers.
 func New(t *frame.Transport) *Service {
 	s := &Service{transport: t, pools: map[string]*pool{}}
 	handle(t, MethodEnqueue, s.enqueue)
@@ -59,7 +63,7 @@
 	return s
 }
 
-// handle decodes a one-way message before it is handled.
+// handle registers a handler of decoded one-way messages.
 func handle[T any](t *frame.Transport, method string, f func(from string, m *T)) {
 	t.HandleOneWay(method, func(from string, body []byte) {
 		var m T
@@ -71,7 +75,7 @@
 	})
 }
 
-// SetConfig takes a new configuration.
+// SetConfig applies a new configuration to all pools.
 func (s *Service) SetConfig(c state.Config) {
 	p := dispatch.Policy{Retired: c.Retired}
 	if c.Bundle != nil {
@@ -80,14 +84,15 @@
 	}
 	s.mu.Lock()
 	s.policy = p
-	list := s.list()
+	list := s.poolList()
 	s.mu.Unlock()
-	for _, x := range list {
-		x.change(func(core *dispatch.Pool) { core.SetPolicy(p) })
+	for _, q := range list {
+		q.update(func(core *dispatch.Pool) { core.SetPolicy(p) })
 	}
 }
 
-func (s *Service) list() []*pool {
+// poolList returns all pools. s.mu must be held.
+func (s *Service) poolList() []*pool {
 	out := make([]*pool, 0, len(s.pools))
 	for _, p := range s.pools {
 		out = append(out, p)
@@ -98,25 +103,27 @@
 // String names the service in the supervisor's log.
 func (s *Service) String() string { return "dispatcher" }
 
-// Serve advances all pools until the context ends.
+// Serve advances pools with waiting tickets, and removes silent entries and idle pools,
+// until the context ends.
 func (s *Service) Serve(ctx context.Context) error {
 	return loop.Every(ctx, tickPeriod, func(now time.Time) {
 		s.mu.Lock()
-		list := s.list()
+		list := s.poolList()
 		s.mu.Unlock()
 		for _, p := range list {
-			p.dropSilent(now)
+			p.removeSilentEntries(now)
 			if p.hasWaiting() {
-				p.poke()
+				p.wakeUp()
 			}
-			s.dropIdle(p, now)
+			s.removeIfIdle(p, now)
 		}
 	})
 }
 
-func (s *Service) dropIdle(p *pool, now time.Time) {
+// removeIfIdle removes a pool that holds no tickets and was not used for idleTTL.
+func (s *Service) removeIfIdle(p *pool, now time.Time) {
 	p.mu.Lock()
-	idle := p.core.Idle() && now.Sub(p.used) > idleTTL
+	idle := p.core.Idle() && now.Sub(p.lastUsed) > idleTTL
 	p.mu.Unlock()
 	if !idle {
 		return
@@ -125,46 +132,48 @@
 	defer s.mu.Unlock()
 	if s.pools[p.name] == p {
 		delete(s.pools, p.name)
-		close(p.dropped)
+		close(p.removed)
 	}
 }
 
-// pool returns or makes a pool.
+// pool returns a pool, which it creates on first use; nil if there are maxPools
+// already.
 func (s *Service) pool(name string) *pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pools[name]
 	if p == nil && len(s.pools) < maxPools {
 		now := time.Now()
-		p = &pool{name: name, core: dispatch.NewPool(now), entries: map[string]time.Time{}, used: now, wake: make(chan struct{}, 1), dropped: make(chan struct{})}
+		p = &pool{name: name, core: dispatch.NewPool(now), entries: map[string]time.Time{}, lastUsed: now, wake: make(chan struct{}, 1), removed: make(chan struct{})}
 		p.core.SetPolicy(s.policy)
 		s.pools[name] = p
-		go s.advance(p)
+		go s.run(p)
 	}
 	return p
 }
 
-// advance sends what the pool wants done, once for all events that gathered.
-func (s *Service) advance(p *pool) {
+// run advances the pool and sends its actions to the entries each time it is woken,
+// until the pool is removed. Events that arrive meanwhile are handled together.
+func (s *Service) run(p *pool) {
 	for {
 		select {
 		case <-p.wake:
-		case <-p.dropped:
+		case <-p.removed:
 			return
 		}
 		p.mu.Lock()
 		actions := p.core.Advance(time.Now())
 		p.mu.Unlock()
-		for entry, a := range split(actions) {
+		for entry, a := range groupByEntry(actions) {
 			if err := s.transport.Send(entry, MethodActions, &Actions{Pool: p.name, Actions: a}); err != nil {
-				log.WithError(err).WithField("step", "send grants").WithField("peer", entry).Debug("entry will sync")
+				log.WithError(err).WithField("step", "send actions").WithField("peer", entry).Debug("actions not sent; the next sync reconciles the entry")
 			}
 		}
 	}
 }
 
-// split groups actions by the entry's peer address.
-func split(a dispatch.Actions) map[string]dispatch.Actions {
+// groupByEntry groups actions by the peer address of the entry that they are for.
+func groupByEntry(a dispatch.Actions) map[string]dispatch.Actions {
 	out := map[string]dispatch.Actions{}
 	for _, g := range a.Grants {
 		to := PeerAddress(g.ID.Entry)
@@ -181,7 +190,7 @@
 	return out
 }
 
-// EntryName names an entry process in ticket IDs.
+// EntryName returns the name of an entry process in ticket IDs.
 func EntryName(peerAddress, process string) string { return peerAddress + "#" + process }
 
 // PeerAddress returns the peer address of an entry name.
@@ -190,34 +199,37 @@
 	return address
 }
 
-func (p *pool) poke() {
+// wakeUp makes run advance the pool.
+func (p *pool) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-// hasWaiting reports whether time alone may change something: a ticket may
-// expire, or a server may come back.
+// hasWaiting reports whether the pool has waiting tickets and must be advanced
+// without a message: a ticket may expire, or a server may become usable again.
 func (p *pool) hasWaiting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.Waiting() > 0
 }
 
-// change runs f on the pool and advances it.
-func (p *pool) change(f func(*dispatch.Pool)) {
+// update calls f with the pool's core and wakes the pool. It does nothing for nil,
+// which Service.pool returns at its limit.
+func (p *pool) update(f func(*dispatch.Pool)) {
 	if p == nil {
 		return
 	}
 	p.mu.Lock()
-	p.used = time.Now()
+	p.lastUsed = time.Now()
 	f(p.core)
 	p.mu.Unlock()
-	p.poke()
+	p.wakeUp()
 }
 
-func (p *pool) dropSilent(now time.Time) {
+// removeSilentEntries removes the tickets of entries that did not report for entryTTL.
+func (p *pool) removeSilentEntries(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for entry, seen := range p.entries {
@@ -230,7 +242,7 @@
 
 func (s *Service) enqueue(_ string, m *Enqueue) {
 	p := s.pool(m.Pool)
-	p.change(func(core *dispatch.Pool) {
+	p.update(func(core *dispatch.Pool) {
 		now := time.Now()
 		for _, t := range m.Tickets {
 			if _, ok := p.entries[t.ID.Entry]; !ok {
@@ -242,17 +254,17 @@
 }
 
 func (s *Service) cancel(_ string, m *Cancel) {
-	s.pool(m.Pool).change(func(core *dispatch.Pool) { core.Cancel(m.ID) })
+	s.pool(m.Pool).update(func(core *dispatch.Pool) { core.Cancel(m.ID) })
 }
 
 func (s *Service) finish(_ string, m *Finish) {
-	s.pool(m.Pool).change(func(core *dispatch.Pool) { core.Finish(time.Now(), m.ID, m.Usage) })
+	s.pool(m.Pool).update(func(core *dispatch.Pool) { core.Finish(time.Now(), m.ID, m.Usage) })
 }
 
 func (s *Service) sync(from string, m *Sync) {
 	p := s.pool(m.Pool)
 	waiting := 0
-	p.change(func(core *dispatch.Pool) {
+	p.update(func(core *dispatch.Pool) {
 		now := time.Now()
 		p.entries[m.Entry] = now
 		core.Sync(now, m.Entry, m.Running, m.Progress)
@@ -265,13 +277,13 @@
 }
 
 func (s *Service) announce(_ string, m *Announce) {
-	s.pool(m.Pool).change(func(core *dispatch.Pool) { core.Announce(time.Now(), m.Server) })
+	s.pool(m.Pool).update(func(core *dispatch.Pool) { core.Announce(time.Now(), m.Server) })
 }
 
-// View returns the pools dispatched here.
+// View returns the state of the pools that this instance dispatches.
 func (s *Service) View() map[string]dispatch.View {
 	s.mu.Lock()
-	list := s.list()
+	list := s.poolList()
 	s.mu.Unlock()
 	out := map[string]dispatch.View{}
 	for _, p := range list {
--- a/daemon/dispatcher/wire.go
+++ b/daemon/dispatcher/wire.go
@@ -1,7 +1,7 @@
-// Package dispatcher runs the dispatching role: for each pool, one instance
-// (chosen by rendezvous hashing) orders the tickets of all entries and grants
-// slots on backend servers. All of its state is soft: entries send it again to
-// the next dispatcher.
+// Package dispatcher runs the dispatching role: for each pool, one instance (chosen
+// by rendezvous hashing) orders the tickets of all entries and grants slots on
+// backend servers. All of its state is soft: when another instance becomes the
+// dispatcher, the entries send that one their tickets and running calls.
 package dispatcher
 
 import (
@@ -10,7 +10,7 @@
 	"cardamomwick.example/core/dispatch"
 )
 
-// Frame methods between entries and dispatchers.
+// Frame methods of the messages between entries and dispatchers.
 const (
 	MethodEnqueue   = "dispatch.enqueue"
 	MethodCancel    = "dispatch.cancel"
@@ -22,26 +22,26 @@
 	MethodView      = "dispatch.view"
 )
 
-// Enqueue brings tickets to a pool's dispatcher.
+// Enqueue adds tickets to a pool's queue.
 type Enqueue struct {
 	Pool    string            `msgpack:"p"`
 	Tickets []dispatch.Ticket `msgpack:"t"`
 }
 
-// Cancel withdraws a waiting ticket.
+// Cancel removes a waiting ticket from the queue.
 type Cancel struct {
 	Pool string            `msgpack:"p"`
 	ID   dispatch.TicketID `msgpack:"i"`
 }
 
-// Finish returns a granted slot.
+// Finish releases a granted slot.
 type Finish struct {
 	Pool  string            `msgpack:"p"`
 	ID    dispatch.TicketID `msgpack:"i"`
 	Usage dispatch.Usage    `msgpack:"u"`
 }
 
-// Sync is an entry's regular report about a pool.
+// Sync is an entry's periodic report of a pool's running calls and their progress.
 type Sync struct {
 	Pool     string                 `msgpack:"p"`
 	Entry    string                 `msgpack:"e"`
@@ -52,8 +52,8 @@
 	FirstToken time.Duration `msgpack:"f,omitempty"`
 }
 
-// SyncReply answers a Sync with what the dispatcher holds for the entry, so that
-// lost tickets are noticed.
+// SyncReply answers a Sync with the number of the entry's waiting tickets, from which
+// the entry detects lost tickets.
 type SyncReply struct {
 	Pool    string `msgpack:"p"`
 	Waiting int    `msgpack:"w"`
@@ -65,13 +65,13 @@
 	Actions dispatch.Actions `msgpack:"a"`
 }
 
-// Announce passes a backend server's announcement on.
+// Announce forwards a backend server's announcement.
 type Announce struct {
 	Pool   string              `msgpack:"p"`
 	Server dispatch.ServerInfo `msgpack:"s"`
 }
 
-// ViewReply holds a dispatcher's pools.
+// ViewReply holds the state of the pools that an instance dispatches.
 type ViewReply struct {
 	Pools map[string]dispatch.View `msgpack:"p"`
 }
