--- a/daemon/baseline/baseline.go
+++ b/daemon/baseline/baseline.go
@@ -1,7 +1,8 @@
-// Package baseline holds the simple policies that the dispatcher is measured
-// against: each entry sends every call on at once, to the next server in turn
-// or to the less loaded of two by their reports, and the engines queue first in
-// first out. It is switched on by settings for experiments only.
+// Package baseline implements the simple load-balancing policies that the
+// dispatcher is compared with: each entry forwards every call at once, either
+// round-robin or to the less loaded of two random servers by their reports, and
+// the engines queue first in, first out. It is enabled in the settings for
+// experiments only.
 package baseline
 
 import (
@@ -25,24 +26,25 @@
 	TwoChoices = "two_choices"
 )
 
+// pollPeriod is how often a call that has no server looks for one.
 const pollPeriod = 20 * time.Millisecond
 
-// Policy grants slots without any dispatcher.
+// Policy grants slots without a dispatcher.
 type Policy struct {
-	name  string
-	mu    sync.Mutex
-	pools map[string]map[string]server
-	turns map[string]int
+	name     string
+	mu       sync.Mutex
+	pools    map[string]map[string]server
+	lastTurn map[string]int
 }
 
 type server struct {
 	dispatch.ServerInfo
-	seen time.Time
+	lastAnnounced time.Time
 }
 
-// New takes announcements in the dispatcher's place.
+// New returns a policy that handles servers' announcements in the dispatcher's place.
 func New(name string, t *frame.Transport) *Policy {
-	p := &Policy{name: name, pools: map[string]map[string]server{}, turns: map[string]int{}}
+	p := &Policy{name: name, pools: map[string]map[string]server{}, lastTurn: map[string]int{}}
 	t.HandleOneWay(dispatcher.MethodAnnounce, func(_ string, body []byte) {
 		var m dispatcher.Announce
 		if wire.Decode(body, &m) == nil {
@@ -61,12 +63,12 @@
 	p.pools[m.Pool][m.Server.ID] = server{m.Server, time.Now()}
 }
 
-// Acquire implements entry.Slots: it waits only while no server is known.
+// Acquire implements entry.Slots. It waits only while no server is available.
 func (p *Policy) Acquire(ctx context.Context, pool string, t dispatch.Ticket, _, deadline time.Time) (scheduler.Slot, dispatch.Grant, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	for {
-		if s, ok := p.choose(pool, t.Exclude); ok {
+		if s, ok := p.selectServer(pool, t.Exclude); ok {
 			return slot{}, dispatch.Grant{Server: s.ID, Address: s.Address, Attempt: t.Attempt}, nil
 		}
 		select {
@@ -77,34 +79,35 @@
 	}
 }
 
-func (p *Policy) choose(pool string, exclude []string) (server, bool) {
+// selectServer applies the policy to the servers that are announced and not excluded.
+func (p *Policy) selectServer(pool string, exclude []string) (server, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var live []server
+	var available []server
 	for _, s := range p.pools[pool] {
-		if time.Since(s.seen) < dispatch.ServerTTL && !slices.Contains(exclude, s.ID) {
-			live = append(live, s)
+		if time.Since(s.lastAnnounced) < dispatch.ServerTTL && !slices.Contains(exclude, s.ID) {
+			available = append(available, s)
 		}
 	}
-	if len(live) == 0 {
+	if len(available) == 0 {
 		return server{}, false
 	}
-	sort.Slice(live, func(i, j int) bool { return live[i].ID < live[j].ID })
+	sort.Slice(available, func(i, j int) bool { return available[i].ID < available[j].ID })
 	if p.name == RoundRobin {
-		p.turns[pool]++
-		return live[p.turns[pool]%len(live)], true
+		p.lastTurn[pool]++
+		return available[p.lastTurn[pool]%len(available)], true
 	}
-	a, b := live[rand.IntN(len(live))], live[rand.IntN(len(live))]
+	a, b := available[rand.IntN(len(available))], available[rand.IntN(len(available))]
 	if (b.Running+b.Queued)*a.Slots < (a.Running+a.Queued)*b.Slots {
 		return b, true
 	}
 	return a, true
 }
 
-// Load implements entry.Slots.
+// Load implements entry.Slots. Calls are not counted.
 func (p *Policy) Load() (waiting, running int) { return 0, 0 }
 
-// slot is a grant that nobody counts.
+// slot is a granted slot without accounting.
 type slot struct{}
 
 // ObserveToken implements scheduler.Slot.
