--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -221,7 +221,7 @@
 
 // down reports whether a server is taken to be gone, for the time being.
 func (s *server) down(now time.Time) bool {
-	return !s.TakesWork() || s.health.avoided(now)
+	return !s.AcceptsWork() || s.health.avoided(now)
 }
 
 // usable prefers servers in this order: announced and healthy, announced,
--- a/core/balance/demand.go
+++ b/core/balance/demand.go
@@ -30,12 +30,12 @@
 	calls := b.rates(now, p, poolName).Calls
 	withheld, takeWork := 0.0, 0
 	for _, s := range p.servers {
-		if s.TakesWork() {
+		if s.AcceptsWork() {
 			takeWork++
 		}
 	}
 	for _, s := range p.servers {
-		if s.TakesWork() && s.limit.Named && calls > 0 {
+		if s.AcceptsWork() && s.limit.Named && calls > 0 {
 			withheld += max(0, 1-s.limit.PerSecond*float64(takeWork)/calls)
 		}
 	}
--- a/core/balance/parts_test.go
+++ b/core/balance/parts_test.go
@@ -54,7 +54,7 @@
 	if first.load.Unread != c.Tokens || second.load.Unread != c.Unshared {
 		t.Errorf("unread are %d and %d, want %d and %d", first.load.Unread, second.load.Unread, c.Tokens, c.Unshared)
 	}
-	b.SetFleet(append([]fleet.Server{{ID: s.ID + "@2", Name: s.ID, Born: 2, Pool: "p", Slots: 64}}, list[:3]...))
+	b.SetFleet(append([]fleet.Server{{ID: s.ID + "@2", Name: s.ID, StartedAt: 2, Pool: "p", Slots: 64}}, list[:3]...))
 	again := b.Start(now, s.ID+"@2", c)
 	if again.load.Unread != c.Tokens {
 		t.Errorf("an engine that has started again is taken to keep the part: %d unread", again.load.Unread)
--- a/core/fleet/changes.go
+++ b/core/fleet/changes.go
@@ -1,146 +1,145 @@
 package fleet
 
-// keptChanges bounds the changes that are remembered, 40 bytes each; who is further behind
-// gets everything. It covers the time between two rounds of a watch while all servers of the
-// largest deployment aimed at are new, and as many that were lost become overdue.
-const keptChanges = 2 * maxServers
+// maxChanges bounds the change log, at 40 bytes an entry; a reader that is further behind
+// gets a full listing. It covers the time between two rounds of a watch in which all servers
+// of the largest supported deployment are replaced and the former ones become overdue.
+const maxChanges = 2 * maxServers
 
-// keptSpans bounds the leaders' terms of which differences are known: a group that
+// maxSpans bounds the leader terms of which differences are known: a group that
 // changes its leader with each election timeout has ten in five seconds.
-const keptSpans = 16
+const maxSpans = 16
 
-// Point is a moment of the fleet's history: leaders follow each other by their terms,
-// and each counts its changes. Points of term 0 are revisions of the log.
-type Point struct{ Term, Version uint64 }
+// Position identifies a state of the fleet: the leader's term, and the number of changes
+// within that term. Positions of term 0 are revisions of the replicated log.
+type Position struct{ Term, Version uint64 }
 
-// after reports whether p is later than q.
-func (p Point) after(q Point) bool {
+// isAfter reports whether p is later than q.
+func (p Position) isAfter(q Position) bool {
 	return p.Term > q.Term || p.Term == q.Term && p.Version > q.Version
 }
 
-// Changes remembers what changed at which point, so that whoever stands at an older
-// one is told the difference. It answers releases, in which every engine is
-// replaced within seconds while hundreds of instances watch: whole listings of 120
-// engines, 16 KB each, filled the leader's time. The cost of a difference does not
-// grow with the servers. The zero value stands at version 0 of term 0. Not safe for
-// concurrent use.
-type Changes struct {
-	// past are the terms before the present one of which differences are known.
-	past    []span
-	present span
-	log     []change
+// ChangeLog records which server changed at which position, so that a reader at an older
+// position is sent only the difference. While a release replaces every engine within seconds
+// and hundreds of instances watch, full listings of 120 engines, 16 KB each, used up the
+// leader's processor time. The cost of a difference does not grow with the number of
+// servers. The zero value is at version 0 of term 0. Not safe for concurrent use.
+type ChangeLog struct {
+	// previous holds the terms before the current one of which differences are known.
+	previous []span
+	current  span
+	entries  []change
 }
 
 // span is the part of a term that was followed without a gap.
 type span struct{ term, from, to uint64 }
 
-func (s span) contains(p Point) bool {
+func (s span) contains(p Position) bool {
 	return s.term == p.Term && s.from <= p.Version && p.Version <= s.to
 }
 
-// kind tells what has happened to a server.
-type kind uint8
+// changeKind tells how a server changed.
+type changeKind uint8
 
 const (
-	changed kind = iota
-	removed
-	unlisted
+	kindChanged changeKind = iota
+	kindRemoved
+	kindUnlisted
 )
 
 type change struct {
-	id   string
-	at   Point
-	kind kind
+	id       string
+	position Position
+	kind     changeKind
 }
 
-// At returns the present point.
-func (c *Changes) At() Point { return Point{c.present.term, c.present.to} }
+// Position returns the current position.
+func (c *ChangeLog) Position() Position { return Position{c.current.term, c.current.to} }
 
-// Restart forgets what was before a point: differences are known from there on.
-func (c *Changes) Restart(p Point) { *c = Changes{present: span{p.Term, p.Version, p.Version}} }
+// Reset discards all entries and starts at a position; differences are known from there on.
+func (c *ChangeLog) Reset(p Position) { *c = ChangeLog{current: span{p.Term, p.Version, p.Version}} }
 
-// Advance makes a later point the present one; changes noted from now on belong to it.
-// Those noted first at a point of a new term are the difference between two leaders.
-func (c *Changes) Advance(p Point) {
-	if p.Term == c.present.term {
-		c.present.to = p.Version
+// Advance moves to a later position, to which the following entries belong. The entries
+// recorded at the first position of a new term are the difference between the two leaders.
+func (c *ChangeLog) Advance(p Position) {
+	if p.Term == c.current.term {
+		c.current.to = p.Version
 		return
 	}
-	c.past = append(c.past, c.present)
-	c.past = append([]span(nil), c.past[max(0, len(c.past)-keptSpans):]...)
-	c.present = span{p.Term, p.Version, p.Version}
+	c.previous = append(c.previous, c.current)
+	c.previous = append([]span(nil), c.previous[max(0, len(c.previous)-maxSpans):]...)
+	c.current = span{p.Term, p.Version, p.Version}
 }
 
-// Changed notes that a server is new or another one at the present point.
-func (c *Changes) Changed(id string) { c.note(id, changed) }
+// RecordChanged records that a server was added or modified at the current position.
+func (c *ChangeLog) RecordChanged(id string) { c.record(id, kindChanged) }
 
-// Removed notes that a server is gone for good at the present point.
-func (c *Changes) Removed(id string) { c.note(id, removed) }
+// RecordRemoved records that a server was removed for good at the current position.
+func (c *ChangeLog) RecordRemoved(id string) { c.record(id, kindRemoved) }
 
-// Unlisted notes that the leader of a new term does not list a server yet.
-func (c *Changes) Unlisted(id string) { c.note(id, unlisted) }
+// RecordUnlisted records that the leader of a new term does not list a server yet.
+func (c *ChangeLog) RecordUnlisted(id string) { c.record(id, kindUnlisted) }
 
-func (c *Changes) note(id string, k kind) {
-	c.log = append(c.log, change{id: id, at: c.At(), kind: k})
-	if len(c.log) <= 2*keptChanges {
+func (c *ChangeLog) record(id string, k changeKind) {
+	c.entries = append(c.entries, change{id: id, position: c.Position(), kind: k})
+	if len(c.entries) <= 2*maxChanges {
 		return
 	}
-	extra := len(c.log) - keptChanges
-	c.forget(c.log[extra-1].at)
-	c.log = append([]change(nil), c.log[extra:]...)
+	extra := len(c.entries) - maxChanges
+	c.discardBefore(c.entries[extra-1].position)
+	c.entries = append([]change(nil), c.entries[extra:]...)
 }
 
-// forget ends the knowledge of differences to points before the given one.
-func (c *Changes) forget(p Point) {
-	for len(c.past) > 0 && c.past[0].term < p.Term {
-		c.past = c.past[1:]
+// discardBefore makes the differences since positions before p unknown.
+func (c *ChangeLog) discardBefore(p Position) {
+	for len(c.previous) > 0 && c.previous[0].term < p.Term {
+		c.previous = c.previous[1:]
 	}
-	oldest := &c.present
-	if len(c.past) > 0 {
-		oldest = &c.past[0]
+	oldest := &c.current
+	if len(c.previous) > 0 {
+		oldest = &c.previous[0]
 	}
 	if oldest.term == p.Term {
 		oldest.from = max(oldest.from, p.Version)
 	}
 }
 
-// known reports whether the difference to a point is known.
-func (c *Changes) known(p Point) bool {
-	for _, s := range c.past {
+// covers reports whether the difference since a position is known.
+func (c *ChangeLog) covers(p Position) bool {
+	for _, s := range c.previous {
 		if s.contains(p) {
 			return true
 		}
 	}
-	return c.present.contains(p)
+	return c.current.contains(p)
 }
 
-// Since lists what has changed after a point; ok is false when that is not known.
-func (c *Changes) Since(p Point) (d Difference, ok bool) {
-	if !c.known(p) {
-		return Difference{}, false
+// Since returns what has changed after a position; ok is false when that is not known.
+func (c *ChangeLog) Since(p Position) (d Delta, ok bool) {
+	if !c.covers(p) {
+		return Delta{}, false
 	}
 	seen := map[string]bool{}
-	for i := len(c.log) - 1; i >= 0 && c.log[i].at.after(p); i-- {
-		x := c.log[i]
-		if seen[x.id] {
+	for i := len(c.entries) - 1; i >= 0 && c.entries[i].position.isAfter(p); i-- {
+		e := c.entries[i]
+		if seen[e.id] {
 			continue
 		}
-		seen[x.id] = true
-		switch x.kind {
-		case changed:
-			d.Changed = append(d.Changed, x.id)
-		case removed:
-			d.Removed = append(d.Removed, x.id)
-		case unlisted:
-			d.Unlisted = append(d.Unlisted, x.id)
+		seen[e.id] = true
+		switch e.kind {
+		case kindChanged:
+			d.Changed = append(d.Changed, e.id)
+		case kindRemoved:
+			d.Removed = append(d.Removed, e.id)
+		case kindUnlisted:
+			d.Unlisted = append(d.Unlisted, e.id)
 		}
 	}
 	return d, true
 }
 
-// Difference names the servers that differ between two points.
-type Difference struct {
-	// Changed are new or others; Removed are gone for good; Unlisted are not listed
-	// yet by a later leader.
+// Delta holds the IDs of the servers that differ between two positions.
+type Delta struct {
+	// Changed servers were added or modified; Removed ones are gone for good; Unlisted
+	// ones are not listed yet by a later leader.
 	Changed, Removed, Unlisted []string
 }
--- a/core/fleet/codec.go
+++ b/core/fleet/codec.go
@@ -2,7 +2,7 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// The keys of an encoded Server, as in its tags.
+// Keys of an encoded Server; they match its struct tags.
 const (
 	keyID          = "i"
 	keyPool        = "p"
@@ -13,76 +13,77 @@
 	keySequence    = "q"
 	keyOverdue     = "o"
 	keyName        = "n"
-	keyBorn        = "b"
+	keyStartedAt   = "b"
 	keyReclaimable = "r"
-	// alwaysEncoded is how many of them are never left out.
-	alwaysEncoded = 8
+	// requiredFields is the number of keys that are always encoded.
+	requiredFields = 8
 )
 
-// EncodeMsgpack writes the server as its tags say. Listings have thousands of servers; to
-// look each field up takes a leader the time in which it must hear of their heartbeats.
+// EncodeMsgpack encodes the server as its struct tags describe. Listings hold
+// thousands of servers, and encoding them by reflection takes the leader so long that it
+// processes heartbeats late.
 func (s Server) EncodeMsgpack(e *msgpack.Encoder) error {
-	fields := alwaysEncoded
-	for _, there := range []bool{s.Name != "", s.Born != 0, s.Reclaimable} {
-		if there {
+	fields := requiredFields
+	for _, present := range []bool{s.Name != "", s.StartedAt != 0, s.Reclaimable} {
+		if present {
 			fields++
 		}
 	}
 	w := writer{e: e}
-	w.note(e.EncodeMapLen(fields))
-	w.text(keyID, s.ID)
-	w.text(keyPool, s.Pool)
-	w.text(keyAddress, s.Address)
-	w.text(keyZone, s.Zone)
-	w.number(keySlots, int64(s.Slots))
-	w.count(keyPhase, uint64(s.Phase))
-	w.count(keySequence, s.Sequence)
-	w.flag(keyOverdue, s.Overdue)
+	w.check(e.EncodeMapLen(fields))
+	w.writeString(keyID, s.ID)
+	w.writeString(keyPool, s.Pool)
+	w.writeString(keyAddress, s.Address)
+	w.writeString(keyZone, s.Zone)
+	w.writeInt(keySlots, int64(s.Slots))
+	w.writeUint(keyPhase, uint64(s.Phase))
+	w.writeUint(keySequence, s.Sequence)
+	w.writeBool(keyOverdue, s.Overdue)
 	if s.Name != "" {
-		w.text(keyName, s.Name)
+		w.writeString(keyName, s.Name)
 	}
-	if s.Born != 0 {
-		w.number(keyBorn, s.Born)
+	if s.StartedAt != 0 {
+		w.writeInt(keyStartedAt, s.StartedAt)
 	}
 	if s.Reclaimable {
-		w.flag(keyReclaimable, true)
+		w.writeBool(keyReclaimable, true)
 	}
 	return w.err
 }
 
-// writer encodes fields until one fails.
+// writer encodes fields until one fails, and keeps that error.
 type writer struct {
 	e   *msgpack.Encoder
 	err error
 }
 
-func (w *writer) note(err error) {
+func (w *writer) check(err error) {
 	if w.err == nil {
 		w.err = err
 	}
 }
 
-func (w *writer) text(key, v string) {
-	w.note(w.e.EncodeString(key))
-	w.note(w.e.EncodeString(v))
+func (w *writer) writeString(key, v string) {
+	w.check(w.e.EncodeString(key))
+	w.check(w.e.EncodeString(v))
 }
 
-func (w *writer) number(key string, v int64) {
-	w.note(w.e.EncodeString(key))
-	w.note(w.e.EncodeInt(v))
+func (w *writer) writeInt(key string, v int64) {
+	w.check(w.e.EncodeString(key))
+	w.check(w.e.EncodeInt(v))
 }
 
-func (w *writer) count(key string, v uint64) {
-	w.note(w.e.EncodeString(key))
-	w.note(w.e.EncodeUint(v))
+func (w *writer) writeUint(key string, v uint64) {
+	w.check(w.e.EncodeString(key))
+	w.check(w.e.EncodeUint(v))
 }
 
-func (w *writer) flag(key string, v bool) {
-	w.note(w.e.EncodeString(key))
-	w.note(w.e.EncodeBool(v))
+func (w *writer) writeBool(key string, v bool) {
+	w.check(w.e.EncodeString(key))
+	w.check(w.e.EncodeBool(v))
 }
 
-// DecodeMsgpack reads what EncodeMsgpack writes, and passes over fields of later versions.
+// DecodeMsgpack reads the output of EncodeMsgpack and skips fields of later versions.
 func (s *Server) DecodeMsgpack(d *msgpack.Decoder) error {
 	*s = Server{}
 	n, err := d.DecodeMapLen()
@@ -123,8 +124,8 @@
 		s.Overdue, err = d.DecodeBool()
 	case keyName:
 		s.Name, err = d.DecodeString()
-	case keyBorn:
-		s.Born, err = d.DecodeInt64()
+	case keyStartedAt:
+		s.StartedAt, err = d.DecodeInt64()
 	case keyReclaimable:
 		s.Reclaimable, err = d.DecodeBool()
 	default:
--- a/core/fleet/codec_test.go
+++ b/core/fleet/codec_test.go
@@ -8,18 +8,19 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// tagged is a Server that is encoded by its tags.
-type tagged Server
+// taggedServer has the fields of Server without its codec, so that it is encoded by its
+// tags.
+type taggedServer Server
 
 func randomServer(rnd *rand.Rand) Server {
 	text := func() string { return []string{"", "x", "i-0123456789", "10.1.2.3:8000"}[rnd.Intn(4)] }
 	return Server{ID: text(), Pool: text(), Address: text(), Zone: text(), Slots: rnd.Intn(3) * 1000, Phase: Phase(rnd.Intn(3)),
-		Sequence: rnd.Uint64() >> rnd.Intn(64), Overdue: rnd.Intn(2) == 0, Name: text(), Born: rnd.Int63() >> rnd.Intn(63), Reclaimable: rnd.Intn(2) == 0}
+		Sequence: rnd.Uint64() >> rnd.Intn(64), Overdue: rnd.Intn(2) == 0, Name: text(), StartedAt: rnd.Int63() >> rnd.Intn(63), Reclaimable: rnd.Intn(2) == 0}
 }
 
-// Instances of other versions encode servers by the tags of the type, and logs on disk are
-// written so: what one side writes, the other must read as it was.
-func TestServersAreEncodedAsTheirTagsSay(t *testing.T) {
+// Instances of other versions and logs on disk hold servers encoded by the struct tags.
+// Each encoding must be readable by the other.
+func TestCodecMatchesStructTags(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
 	for range 1000 {
 		s := randomServer(rnd)
@@ -27,27 +28,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var byTags tagged
+		var byTags taggedServer
 		if err := msgpack.Unmarshal(data, &byTags); err != nil || Server(byTags) != s {
-			t.Fatalf("by its tags: %+v, %v, want %+v", byTags, err, s)
+			t.Fatalf("decoded by tags: %+v, %v, want %+v", byTags, err, s)
 		}
-		former, err := msgpack.Marshal(tagged(s))
+		tagEncoded, err := msgpack.Marshal(taggedServer(s))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var back Server
-		if err := msgpack.Unmarshal(former, &back); err != nil || back != s {
-			t.Fatalf("read as %+v, %v, want %+v", back, err, s)
+		if err := msgpack.Unmarshal(tagEncoded, &back); err != nil || back != s {
+			t.Fatalf("decoded: %+v, %v, want %+v", back, err, s)
 		}
 	}
-	// A field that is added to the type needs a key here.
-	if n := reflect.TypeFor[Server]().NumField(); n != alwaysEncoded+3 {
-		t.Errorf("%d fields, %d are encoded", n, alwaysEncoded+3)
+	// A field added to the type must be added to the codec.
+	if n := reflect.TypeFor[Server]().NumField(); n != requiredFields+3 {
+		t.Errorf("Server has %d fields, the codec knows %d", n, requiredFields+3)
 	}
 }
 
-// A later version may have more fields.
-func TestUnknownFieldsOfAServerArePassedOver(t *testing.T) {
+// A later version may add fields.
+func TestDecodeSkipsUnknownFields(t *testing.T) {
 	data, err := msgpack.Marshal(map[string]any{"later": []int{1, 2}, "i": "a"})
 	if err != nil {
 		t.Fatal(err)
@@ -58,8 +59,8 @@
 	}
 }
 
-// BenchmarkListing is what a replica pays to encode all of 3,000 servers, and an entry to
-// decode them.
+// BenchmarkListing measures what a replica spends on encoding a listing of 3,000 servers,
+// and an entry on decoding it.
 func BenchmarkListing(b *testing.B) {
 	rnd := rand.New(rand.NewSource(1))
 	var l Listing
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet keeps what is known of the backend servers from their own
-// announcements. It is pure: the clock is passed in.
+// Package fleet tracks the backend servers by their own announcements. It does no I/O: the
+// clock is passed in.
 //
-// Announcements arrive late, out of order and through different instances;
-// each start of a server numbers its announcements. A start that has said that it
-// leaves never counts as ready again, and one that a newer start of the same
-// server has followed never comes back.
+// Announcements arrive late, out of order and through different instances; each start of a
+// server numbers its announcements. A start that has announced that it drains or departs
+// never becomes ready again, and one that a newer start of the same server has replaced
+// never comes back.
 package fleet
 
 import (
@@ -13,18 +13,19 @@
 	"time"
 )
 
-// compareIDs orders servers as lists of them are sorted.
+// compareIDs is the sort order of server lists.
 func compareIDs(a, b Server) int { return cmp.Compare(a.ID, b.ID) }
 
-// Find returns the place of a server in a list that is sorted by ID, or where it would be.
-func Find(list []Server, id string) (place int, found bool) {
+// Find returns the index of a server in a list sorted by ID, or the index at which it would
+// be inserted.
+func Find(list []Server, id string) (index int, found bool) {
 	return slices.BinarySearchFunc(list, id, func(s Server, id string) int { return cmp.Compare(s.ID, id) })
 }
 
-// Phase is a backend server's own word on whether it takes work.
+// Phase is what a backend server announces about whether it takes new work.
 type Phase uint8
 
-// The phases, in the order in which they follow each other.
+// Phases, in the order in which a server goes through them.
 const (
 	Ready Phase = iota
 	Draining
@@ -34,7 +35,7 @@
 // String returns the name used in logs.
 func (p Phase) String() string { return [...]string{"ready", "draining", "departed"}[p] }
 
-// Server is one start of a backend server.
+// Server describes one start of a backend server.
 type Server struct {
 	// ID identifies the start; see StartID.
 	ID      string `msgpack:"i"`
@@ -45,85 +46,87 @@
 	Phase   Phase  `msgpack:"h"`
 	// Sequence numbers the server's announcements.
 	Sequence uint64 `msgpack:"q"`
-	// Overdue: no announcement for longer than OverdueAfter. It may be cut off
-	// from those that take announcements, and still serve.
+	// Overdue is set after OverdueAfter without an announcement. The server may only be cut
+	// off from the instances that take announcements, and still serve.
 	Overdue bool `msgpack:"o"`
-	// Name is the server's own, the same over its starts; empty where each start
-	// has an ID of its own.
+	// Name is the server's own name, the same across restarts; empty if each start has an
+	// ID of its own.
 	Name string `msgpack:"n,omitempty"`
-	// Born is when the server started, in Unix milliseconds by its own clock; zero
-	// where it does not say.
-	Born int64 `msgpack:"b,omitempty"`
-	// Reclaimable servers may be taken away by who provides them.
+	// StartedAt is the start time in Unix milliseconds by the server's own clock, zero if
+	// it announces none.
+	StartedAt int64 `msgpack:"b,omitempty"`
+	// Reclaimable is set for spot capacity, which its provider may take away at any time.
 	Reclaimable bool `msgpack:"r,omitempty"`
 }
 
-// OwnName is what the server calls itself.
-func (s *Server) OwnName() string {
+// StableName returns the name that stays the same across restarts if the server has one,
+// otherwise its ID.
+func (s *Server) StableName() string {
 	if s.Name == "" {
 		return s.ID
 	}
 	return s.Name
 }
 
-// TakesWork reports whether the server is there for new work, by its own word and lately.
-func (s *Server) TakesWork() bool { return s.Phase == Ready && !s.Overdue }
+// AcceptsWork reports whether the server takes new work: it has announced that it is ready,
+// and is not overdue.
+func (s *Server) AcceptsWork() bool { return s.Phase == Ready && !s.Overdue }
 
-// saysSame reports whether two announcements of a server differ in their numbers only.
-func (s Server) saysSame(x Server) bool {
+// equalExceptSequence reports whether two announcements differ at most in their sequence
+// numbers.
+func (s Server) equalExceptSequence(x Server) bool {
 	s.Sequence = x.Sequence
 	return s == x
 }
 
-// confirms reports whether an announcement says no more of a listed server than that it
-// is alive. That holds for overdue ones as well: when the leader is late, all are, and to
-// tell it of each would make it later.
-func (s Server) confirms(listed Server) bool {
+// isHeartbeatOf reports whether an announcement adds nothing to the listed server but that
+// it is alive. This holds for overdue servers too: when the leader falls behind, all
+// servers become overdue, and forwarding an announcement of each would delay it further.
+func (s Server) isHeartbeatOf(listed Server) bool {
 	listed.Overdue = s.Overdue
-	return listed.saysSame(s)
+	return listed.equalExceptSequence(s)
 }
 
-// Timing of the registry, from a heartbeat every 1.2 s on the deployments
-// measured, and announcements that arrive seconds late.
+// Timing and limits of the registry. They fit a heartbeat every 1.2 s, and announcements
+// that arrive seconds late.
 const (
-	// OverdueAfter is three heartbeats: a server without news for so long is
-	// used only when there is no other.
+	// OverdueAfter is three heartbeats. A server that has been silent for so long is used
+	// only if there is no other.
 	OverdueAfter = 3600 * time.Millisecond
-	// ForgetAfter ends a server that neither announces nor departs. It is longer
-	// than any partition that a server is expected to serve through.
-	ForgetAfter = 30 * time.Second
-	// LoggedWithdrawals bounds the servers that the log remembers as leaving, and those
-	// that go with all servers: 1,024 are some 20 KB for each entry that starts. A server
-	// is gone for good some seconds after it has said so; this many leave in an hour of
-	// rolling replacement at the sizes aimed for.
-	LoggedWithdrawals = 1024
-	// keptWithdrawals bounds the IDs remembered as draining or departed, against late
-	// announcements. It is twice what the log keeps: a withdrawal that is read there
-	// again must not count as news each time.
-	keptWithdrawals = 2 * LoggedWithdrawals
-	// maxServers bounds what a faulty writer can make an instance remember: twice
-	// the servers of the largest deployment aimed at.
+	// SilenceTimeout is when a server that neither announces itself nor departs is removed.
+	// It is longer than any partition that a server is expected to serve through.
+	SilenceTimeout = 30 * time.Second
+	// MaxLoggedWithdrawals bounds the withdrawals kept in the replicated log and sent with
+	// a full listing: 1,024 are some 20 KB for each entry that starts. A server is removed
+	// some seconds after it has announced that it drains; this many leave in an hour of
+	// rolling replacement at the largest supported size.
+	MaxLoggedWithdrawals = 1024
+	// maxWithdrawals bounds the IDs remembered as draining or departed, against late
+	// announcements. It is twice MaxLoggedWithdrawals, so that withdrawals read from the
+	// log again don't count as changes.
+	maxWithdrawals = 2 * MaxLoggedWithdrawals
+	// maxServers bounds the memory that a faulty announcer can use up: twice the servers of
+	// the largest supported deployment.
 	maxServers = 8192
 )
 
 type record struct {
 	Server
-	heard time.Time
+	lastHeard time.Time
 }
 
-// Registry holds the servers that one instance knows. Not safe for concurrent
-// use.
+// Registry holds the servers known to one instance. Not safe for concurrent use.
 type Registry struct {
 	servers map[string]*record
-	// addresses and names lead to the IDs of the servers that have them: thousands of
-	// servers announce themselves at once, and each must not look at all others.
+	// addresses and names index the servers: thousands announce themselves at once, and an
+	// announcement must not scan all of them.
 	addresses, names index
-	// withdrawn has what servers were withdrawn to, known here or not; order has their
-	// IDs as they were noted.
-	withdrawn map[string]Phase
-	order     []string
-	starts    Starts
-	changes   Changes
+	// withdrawn holds the phase to which a server was withdrawn, whether it is listed here
+	// or not; withdrawalOrder holds the IDs in the order of recording.
+	withdrawn       map[string]Phase
+	withdrawalOrder []string
+	starts          Starts
+	changes         ChangeLog
 }
 
 // NewRegistry returns an empty registry.
@@ -131,28 +134,27 @@
 	return &Registry{servers: map[string]*record{}, addresses: index{}, names: index{}, withdrawn: map[string]Phase{}}
 }
 
-// Version rises whenever Servers returns something else.
-func (r *Registry) Version() uint64 { return r.changes.At().Version }
+// Version increases whenever the result of Servers changes.
+func (r *Registry) Version() uint64 { return r.changes.Position().Version }
 
-// advance counts a change.
-func (r *Registry) advance() { r.changes.Advance(Point{Version: r.Version() + 1}) }
+func (r *Registry) incrementVersion() { r.changes.Advance(Position{Version: r.Version() + 1}) }
 
-// changed notes that a server is new or another one.
-func (r *Registry) changed(id string) {
-	r.advance()
-	r.changes.Changed(id)
+// markChanged records that a server was added or modified.
+func (r *Registry) markChanged(id string) {
+	r.incrementVersion()
+	r.changes.RecordChanged(id)
 }
 
-// Listing returns the difference to a version, or everything: without sameTerm the
-// version is another leader's. Its term, and the withdrawals that go with everything,
-// are left to the caller.
+// Listing returns the difference since a version, or a full listing if that is unknown or,
+// without sameTerm, the version is another leader's. The caller sets the term and the
+// withdrawals of a full listing.
 func (r *Registry) Listing(sameTerm bool, version uint64) *Listing {
 	var l *Listing
-	if d, known := r.changes.Since(Point{Version: version}); sameTerm && known {
-		l = d.listing(func(id string) Server { return r.servers[id].Server })
+	if d, known := r.changes.Since(Position{Version: version}); sameTerm && known {
+		l = d.newListing(func(id string) Server { return r.servers[id].Server })
 		l.Since = version
 	} else {
-		l = wholeListing(r.all)
+		l = newFullListing(r.all)
 	}
 	l.Version = r.Version()
 	return l
@@ -166,33 +168,33 @@
 	}
 }
 
-// Heard notes that a known server announces itself as before; false when it is not
-// known so.
-func (r *Registry) Heard(now time.Time, id string, sequence uint64) bool {
+// RecordHeartbeat records that a listed, ready server is alive. It returns false if there
+// is no such server; the caller then has to send the full announcement.
+func (r *Registry) RecordHeartbeat(now time.Time, id string, sequence uint64) bool {
 	s := r.servers[id]
 	if s == nil || s.Phase != Ready {
 		return false
 	}
-	s.heard = now
+	s.lastHeard = now
 	s.Sequence = max(s.Sequence, sequence)
 	if s.Overdue {
 		s.Overdue = false
-		r.changed(id)
+		r.markChanged(id)
 	}
 	return true
 }
 
-// Knows reports whether a server is listed as it announces itself now.
-func (r *Registry) Knows(s Server) bool {
+// IsUpToDate reports whether a server is already listed with everything it announces.
+func (r *Registry) IsUpToDate(s Server) bool {
 	listed := r.servers[s.ID]
-	return listed != nil && s.confirms(listed.Server)
+	return listed != nil && s.isHeartbeatOf(listed.Server)
 }
 
-// Announce takes an announcement. Older news about a server changes nothing,
-// and a newer start of the same server, or at the same address, ends the one
-// before.
+// Announce processes an announcement. One that is older than the last of its server is
+// ignored. A newer start of the same server replaces the former one, and so does a new
+// server at the address of an overdue one.
 func (r *Registry) Announce(now time.Time, s Server) {
-	if !r.admits(s) {
+	if !r.admit(s) {
 		return
 	}
 	old := r.servers[s.ID]
@@ -200,11 +202,11 @@
 		if len(r.servers) >= maxServers {
 			return
 		}
-		r.replaceAt(s)
+		r.departOverdueAt(s)
 		s.Overdue = false
 		s.Phase = max(s.Phase, r.withdrawn[s.ID])
 		r.put(s, now)
-		r.changed(s.ID)
+		r.markChanged(s.ID)
 		return
 	}
 	if s.Sequence < old.Sequence {
@@ -212,34 +214,34 @@
 	}
 	s.Phase = max(s.Phase, old.Phase)
 	s.Overdue = false
-	if !s.saysSame(old.Server) {
-		r.changed(s.ID)
+	if !s.equalExceptSequence(old.Server) {
+		r.markChanged(s.ID)
 	}
 	r.put(s, now)
 }
 
-// put lists a server as it is now.
+// put adds a server or updates it, and maintains the indexes.
 func (r *Registry) put(s Server, now time.Time) {
-	if old := r.servers[s.ID]; old != nil && old.Address == s.Address && old.OwnName() == s.OwnName() {
+	if old := r.servers[s.ID]; old != nil && old.Address == s.Address && old.StableName() == s.StableName() {
 		*old = record{s, now}
 		return
 	}
 	r.drop(s.ID)
 	r.servers[s.ID] = &record{s, now}
 	r.addresses.add(s.Address, s.ID)
-	r.names.add(s.OwnName(), s.ID)
+	r.names.add(s.StableName(), s.ID)
 }
 
-// drop takes a server off the list.
+// drop removes a server from the list and the indexes.
 func (r *Registry) drop(id string) {
 	if s := r.servers[id]; s != nil {
 		r.addresses.remove(s.Address, id)
-		r.names.remove(s.OwnName(), id)
+		r.names.remove(s.StableName(), id)
 		delete(r.servers, id)
 	}
 }
 
-// index leads from something that servers have to their IDs.
+// index maps an attribute of servers to the IDs of those that have it.
 type index map[string][]string
 
 func (x index) add(key, id string) { x[key] = append(x[key], id) }
@@ -253,10 +255,10 @@
 	x[key] = left
 }
 
-// replaceAt ends the server that stood at the address of a new one, unless the
-// old one is known to announce still: a delayed first announcement of a server
-// that has crashed since must not displace its successor.
-func (r *Registry) replaceAt(s Server) {
+// departOverdueAt removes the server that had the address of a new one, unless it still
+// announces itself: a delayed first announcement of a server that has since crashed must
+// not displace its successor.
+func (r *Registry) departOverdueAt(s Server) {
 	for _, id := range slices.Clone(r.addresses[s.Address]) {
 		if r.servers[id].Overdue {
 			r.Depart(id)
@@ -264,49 +266,49 @@
 	}
 }
 
-// Remember adds servers that are known from elsewhere, as if they had announced
-// themselves now; those known already get the same time. A new leader begins
-// with it, and then waits for their announcements.
-func (r *Registry) Remember(now time.Time, list []Server) {
+// Restore adds servers known from the log as if they had just announced themselves, and
+// renews those already listed. A new leader starts with it and then waits for their
+// announcements.
+func (r *Registry) Restore(now time.Time, list []Server) {
 	for _, s := range list {
-		if !r.admits(s) {
+		if !r.admit(s) {
 			continue
 		}
 		old := r.servers[s.ID]
 		if old == nil {
 			s.Phase = max(s.Phase, r.withdrawn[s.ID])
 			r.put(s, now)
-			r.changed(s.ID)
+			r.markChanged(s.ID)
 			continue
 		}
-		old.heard = now
+		old.lastHeard = now
 		if old.Overdue {
 			old.Overdue = false
-			r.changed(s.ID)
+			r.markChanged(s.ID)
 		}
 	}
 }
 
-// admits reports whether a server may be there, and if so ends its older starts.
-func (r *Registry) admits(s Server) bool {
+// admit reports whether a server may be listed, and if so removes its older starts.
+func (r *Registry) admit(s Server) bool {
 	if r.withdrawn[s.ID] == Departed || r.starts.Stale(s.Start()) {
 		return false
 	}
-	r.noteStart(s.Start())
+	r.recordStart(s.Start())
 	return true
 }
 
-// NoteStarts takes starts that are known from elsewhere: what older ones of the
-// same servers say comes late.
-func (r *Registry) NoteStarts(list []Start) {
+// RecordStarts records starts known from the log; announcements of older starts of the same
+// servers are then ignored as late.
+func (r *Registry) RecordStarts(list []Start) {
 	for _, s := range list {
-		r.noteStart(s)
+		r.recordStart(s)
 	}
 }
 
-// noteStart ends the older starts of a server.
-func (r *Registry) noteStart(start Start) {
-	if !r.starts.Note(start) {
+// recordStart records a start and removes the older starts of the server.
+func (r *Registry) recordStart(start Start) {
+	if !r.starts.Record(start) {
 		return
 	}
 	for _, id := range slices.Clone(r.names[start.Name]) {
@@ -316,71 +318,69 @@
 	}
 }
 
-// Newest returns the ID of the newest start of a server that is known by its own
-// name.
-func (r *Registry) Newest(name string) string { return r.starts.Newest(name) }
+// NewestID returns the ID of the newest start of a server, given its stable name.
+func (r *Registry) NewestID(name string) string { return r.starts.NewestID(name) }
 
-// Silent lists the servers that would be forgotten.
-func (r *Registry) Silent(now time.Time) []string {
+// TimedOut returns the IDs of the servers that have been silent for SilenceTimeout.
+func (r *Registry) TimedOut(now time.Time) []string {
 	var out []string
 	for id, s := range r.servers {
-		if now.Sub(s.heard) >= ForgetAfter {
+		if now.Sub(s.lastHeard) >= SilenceTimeout {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Withdraw notes that a server drains or has departed, whatever it announces
-// later.
+// Withdraw records that a server drains or has departed; later announcements don't undo it.
 func (r *Registry) Withdraw(id string, p Phase) {
 	if p == Departed {
 		r.Depart(id)
 		return
 	}
-	r.noteWithdrawn(id, p)
+	r.recordWithdrawal(id, p)
 	if s := r.servers[id]; s != nil && s.Phase < p {
 		s.Phase = p
-		r.changed(id)
+		r.markChanged(id)
 	}
 }
 
-// Depart forgets a server for good, and tells so of one that was never announced
-// here: those that watch may know it from an earlier leader.
+// Depart removes a server for good. The change is recorded even if the server was never
+// announced here, since watchers may know it from an earlier leader.
 func (r *Registry) Depart(id string) {
 	if r.withdrawn[id] == Departed {
 		return
 	}
 	r.drop(id)
-	r.advance()
-	r.changes.Removed(id)
-	r.noteWithdrawn(id, Departed)
+	r.incrementVersion()
+	r.changes.RecordRemoved(id)
+	r.recordWithdrawal(id, Departed)
 }
 
-func (r *Registry) noteWithdrawn(id string, p Phase) {
+func (r *Registry) recordWithdrawal(id string, p Phase) {
 	before, known := r.withdrawn[id]
 	r.withdrawn[id] = max(p, before)
 	if known {
 		return
 	}
-	r.order = append(r.order, id)
-	if len(r.order) > keptWithdrawals {
-		delete(r.withdrawn, r.order[0])
-		r.order = r.order[1:]
+	r.withdrawalOrder = append(r.withdrawalOrder, id)
+	if len(r.withdrawalOrder) > maxWithdrawals {
+		delete(r.withdrawn, r.withdrawalOrder[0])
+		r.withdrawalOrder = r.withdrawalOrder[1:]
 	}
 }
 
-// Expire marks silent servers overdue.
-func (r *Registry) Expire(now time.Time) {
+// MarkOverdue marks servers overdue that have been silent for OverdueAfter.
+func (r *Registry) MarkOverdue(now time.Time) {
 	for _, s := range r.servers {
-		if now.Sub(s.heard) >= OverdueAfter && !s.Overdue {
+		if now.Sub(s.lastHeard) >= OverdueAfter && !s.Overdue {
 			s.Overdue = true
-			r.changed(s.ID)
+			r.markChanged(s.ID)
 		}
 	}
 }
 
-// Servers lists what is known, sorted by ID.
+// Servers returns the listed servers, sorted by ID.
 func (r *Registry) Servers() []Server {
 	out := make([]Server, 0, len(r.servers))
 	for _, s := range r.servers {
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 	r.Announce(t0, now)
 	r.Announce(t0, server("a", 4))
 	if got := r.Servers()[0]; got.Phase != Draining {
-		t.Errorf("an announcement from before the draining made it %v", got.Phase)
+		t.Errorf("an announcement from before the draining set the phase %v", got.Phase)
 	}
 	r.Announce(t0, server("a", 6))
 	if got := r.Servers()[0]; got.Phase != Draining {
@@ -36,14 +36,14 @@
 	r.Announce(t0, server("a", 1))
 	r.Depart("a")
 	r.Announce(t0.Add(time.Second), server("a", 2))
-	r.Remember(t0, []Server{server("a", 1)})
+	r.Restore(t0, []Server{server("a", 1)})
 	if len(r.Servers()) != 0 {
 		t.Error("a late announcement brought a departed server back")
 	}
 }
 
-// A delayed announcement of a crashed server may come after that of its
-// successor at the same address.
+// A delayed announcement of a crashed server may arrive after that of its successor at the
+// same address.
 func TestDelayedPredecessorDoesNotDisplaceItsSuccessor(t *testing.T) {
 	r := NewRegistry()
 	r.Announce(t0, server("new", 1))
@@ -57,20 +57,20 @@
 	}
 }
 
-func TestSilentServerIsOverdueThenListedAsSilent(t *testing.T) {
+func TestSilentServerBecomesOverdueThenTimesOut(t *testing.T) {
 	r := NewRegistry()
 	r.Announce(t0, server("a", 1))
 	v := r.Version()
-	r.Expire(t0.Add(OverdueAfter - time.Millisecond))
+	r.MarkOverdue(t0.Add(OverdueAfter - time.Millisecond))
 	if r.Version() != v || r.Servers()[0].Overdue {
 		t.Error("overdue too early")
 	}
-	r.Expire(t0.Add(OverdueAfter))
+	r.MarkOverdue(t0.Add(OverdueAfter))
 	if r.Version() == v || !r.Servers()[0].Overdue {
 		t.Error("not overdue")
 	}
-	if len(r.Silent(t0.Add(ForgetAfter))) != 1 {
-		t.Error("not listed as silent")
+	if len(r.TimedOut(t0.Add(SilenceTimeout))) != 1 {
+		t.Error("not timed out")
 	}
 	r.Announce(t0.Add(OverdueAfter), server("a", 2))
 	if r.Servers()[0].Overdue {
@@ -78,25 +78,24 @@
 	}
 }
 
-func TestMirrorKeepsServersOverAChangeOfTheLeader(t *testing.T) {
+func TestMirrorKeepsServersAcrossLeaderChange(t *testing.T) {
 	m := NewMirror()
-	m.Take(t0, Listing{Term: 1, Servers: []Server{server("a", 1), server("b", 1), server("c", 1)}})
-	m.Take(t0, Listing{Term: 2, Servers: []Server{server("a", 1)}, Withdrawals: []Withdrawal{{"b", Departed}, {"c", Draining}}})
+	m.Apply(t0, Listing{Term: 1, Servers: []Server{server("a", 1), server("b", 1), server("c", 1)}})
+	m.Apply(t0, Listing{Term: 2, Servers: []Server{server("a", 1)}, Withdrawals: []Withdrawal{{"b", Departed}, {"c", Draining}}})
 	got := m.Servers(t0)
 	if len(got) != 2 || got[0].ID != "a" || got[1].ID != "c" || got[1].Phase != Draining {
 		t.Errorf("got %+v, want a, and c draining", got)
 	}
-	if got := m.Servers(t0.Add(adoptTime)); len(got) != 1 {
-		t.Errorf("unlisted servers are still believed: %+v", got)
+	if got := m.Servers(t0.Add(retentionTime)); len(got) != 1 {
+		t.Errorf("unlisted servers are still listed: %+v", got)
 	}
-	m.Take(t0, Listing{Term: 1, Servers: nil})
+	m.Apply(t0, Listing{Term: 1, Servers: nil})
 	if len(m.Servers(t0)) == 0 {
-		t.Error("a listing of an older term was taken")
+		t.Error("a listing of an older term was applied")
 	}
 }
 
-// Whatever order announcements come in, a server that was ever withdrawn is
-// never ready again.
+// In whatever order announcements arrive, a withdrawn server never becomes ready again.
 func TestWithdrawnIsNeverReady(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("never ready again", prop.ForAll(func(sequences []uint8, at uint8) bool {
@@ -116,31 +115,31 @@
 	p.TestingRun(t)
 }
 
-// fleetSize is ten servers a machine at 376 machines.
+// fleetSize is ten servers on each of 376 machines.
 const fleetSize = 3760
 
-// lostFleet is the registry of a leader that remembers a large fleet which is gone.
-func lostFleet() *Registry {
+// registryOfLostFleet returns the registry of a leader whose large fleet is gone.
+func registryOfLostFleet() *Registry {
 	r := NewRegistry()
 	var former []Server
 	for i := range fleetSize {
 		former = append(former, Server{ID: fmt.Sprint("former-", i), Address: fmt.Sprint("a", i)})
 	}
-	r.Remember(t0, former)
+	r.Restore(t0, former)
 	return r
 }
 
 // All servers of a large fleet are lost, as many others have come, and the former become
-// overdue at the same moment. Instances that watch get what has changed; whole listings, for
-// hundreds of them, kept the leader from hearing of heartbeats.
-func TestOverdueFleetIsToldInDifferences(t *testing.T) {
-	r := lostFleet()
+// overdue at the same moment. Watchers must be sent the difference: full listings to
+// hundreds of them delayed the leader's processing of heartbeats.
+func TestOverdueFleetIsSentAsDifference(t *testing.T) {
+	r := registryOfLostFleet()
 	at := r.Version()
 	for i := range fleetSize {
 		r.Announce(t0.Add(OverdueAfter), Server{ID: fmt.Sprint("next-", i), Address: fmt.Sprint("b", i)})
 	}
-	r.Expire(t0.Add(OverdueAfter))
-	if l := r.Listing(true, at); !l.Difference || len(l.Servers) != 2*fleetSize {
-		t.Errorf("difference %v with %d servers", l.Difference, len(l.Servers))
+	r.MarkOverdue(t0.Add(OverdueAfter))
+	if l := r.Listing(true, at); !l.Delta || len(l.Servers) != 2*fleetSize {
+		t.Errorf("delta is %v with %d servers", l.Delta, len(l.Servers))
 	}
 }
--- a/core/fleet/mirror.go
+++ b/core/fleet/mirror.go
@@ -6,107 +6,107 @@
 	"time"
 )
 
-// Withdrawal notes that a backend server drains or has departed.
+// Withdrawal records that a backend server drains or has departed.
 type Withdrawal struct {
 	ServerID string `msgpack:"i"`
 	Phase    Phase  `msgpack:"p"`
 }
 
-// Listing is the fleet as a leader of the replica group sees it.
+// Listing is the state of the fleet at a leader of the replica group, in full or as a
+// difference.
 type Listing struct {
 	// Term is the leader's; Version counts its changes within the term.
 	Term    uint64   `msgpack:"t"`
 	Version uint64   `msgpack:"v"`
 	Servers []Server `msgpack:"s"`
-	// Difference: Servers are only those that are new or have changed after the point
-	// of Since and TermsBack, and Removed those that are gone for good since then.
-	// Otherwise Servers are all.
-	Difference bool     `msgpack:"d,omitempty"`
-	Since      uint64   `msgpack:"n,omitempty"`
-	Removed    []string `msgpack:"r,omitempty"`
-	// TermsBack is how much lower the term of Since is; zero for the same one.
+	// Delta marks a difference: Servers holds only those added or modified since the
+	// position given by Since and TermsBack, and Removed those gone for good since then.
+	// Otherwise Servers holds all.
+	Delta   bool     `msgpack:"d,omitempty"`
+	Since   uint64   `msgpack:"n,omitempty"`
+	Removed []string `msgpack:"r,omitempty"`
+	// TermsBack is Term minus the term of Since; zero within a term.
 	TermsBack uint64 `msgpack:"b,omitempty"`
-	// Unlisted were listed at the point of Since, and the leader has yet to hear of
-	// them.
+	// Unlisted servers were listed at the position of Since, but have not announced
+	// themselves to this leader yet.
 	Unlisted []string `msgpack:"u,omitempty"`
-	// Withdrawals come with all servers: whoever takes those may know others from
-	// elsewhere, which have left. With a difference come those of Unlisted.
+	// Withdrawals accompany a full listing, since its receiver may know servers from
+	// elsewhere that have left. In a difference they are those of Unlisted.
 	Withdrawals []Withdrawal `msgpack:"w,omitempty"`
 }
 
-// follows reports whether the listing can be taken by who stands at a point: it is of
-// no older term, and a difference is one to that point.
-func (l *Listing) follows(p Point) bool {
-	if l.Difference {
+// appliesTo reports whether a holder at a position can apply the listing: its term is not
+// older, and a difference starts at exactly that position.
+func (l *Listing) appliesTo(p Position) bool {
+	if l.Delta {
 		return l.Term == p.Term+l.TermsBack && l.Since == p.Version
 	}
 	return l.Term >= p.Term
 }
 
-// adoptTime is how long servers that a new leader has not listed are still
-// believed: it learns of them from their announcements, which may come seconds
-// late.
-const adoptTime = 6 * time.Second
+// retentionTime is how long servers are kept that a new leader has not listed: it learns of
+// them from their announcements, which may arrive seconds late.
+const retentionTime = 6 * time.Second
 
-// Mirror is a copy of the leader's fleet that survives changes of the leader.
-// Not safe for concurrent use.
+// Mirror is a copy of the leader's fleet that survives changes of the leader. Not safe for
+// concurrent use.
 type Mirror struct {
-	at     Point
-	listed map[string]Server
-	// adopted were listed by an earlier leader only.
-	adopted      map[string]Server
-	adoptedUntil time.Time
-	// phases never go back, whatever a leader that knows less lists.
+	position Position
+	listed   map[string]Server
+	// retained servers were listed by an earlier leader only.
+	retained      map[string]Server
+	retainedUntil time.Time
+	// phases never go back, even if a leader with less information lists an earlier one.
 	phases map[string]Phase
-	// starts: a leader that was not told of a server's newest start may list an
-	// older one.
+	// starts guards against a leader that has not heard of a server's newest start and
+	// lists an older one.
 	starts Starts
 
-	// servers is the list handed out last; it is never modified. changed has the IDs of
-	// those that may differ from it, all: any may.
-	servers []Server
-	changed map[string]bool
-	all     bool
+	// servers is the list returned last; it is never modified. changed holds the IDs of the
+	// servers that may differ from it; with allChanged any may.
+	servers    []Server
+	changed    map[string]bool
+	allChanged bool
 }
 
 // NewMirror returns an empty mirror.
 func NewMirror() *Mirror {
-	return &Mirror{listed: map[string]Server{}, adopted: map[string]Server{}, phases: map[string]Phase{}, changed: map[string]bool{}}
+	return &Mirror{listed: map[string]Server{}, retained: map[string]Server{}, phases: map[string]Phase{}, changed: map[string]bool{}}
 }
 
-// At returns the point last taken.
-func (m *Mirror) At() Point { return m.at }
+// Position returns the position of the listing applied last.
+func (m *Mirror) Position() Position { return m.position }
 
-// Take takes a listing that follows what is held, and ignores others.
-func (m *Mirror) Take(now time.Time, l Listing) {
+// Apply applies a listing that follows the current position, and ignores others.
+func (m *Mirror) Apply(now time.Time, l Listing) {
 	switch {
-	case !l.follows(m.at):
+	case !l.appliesTo(m.position):
 		return
-	case l.Difference:
-		m.takeDifference(now, l)
+	case l.Delta:
+		m.applyDelta(now, l)
 	default:
-		m.takeWhole(now, l)
+		m.applyFull(now, l)
 	}
-	m.at = Point{l.Term, l.Version}
+	m.position = Position{l.Term, l.Version}
 	for _, s := range l.Servers {
-		m.list(s)
+		m.applyServer(s)
 	}
 }
 
-func (m *Mirror) takeWhole(now time.Time, l Listing) {
-	if l.Term > m.at.Term {
-		m.adoptAll(now)
+func (m *Mirror) applyFull(now time.Time, l Listing) {
+	if l.Term > m.position.Term {
+		m.retainAll(now)
 	}
-	m.noteWithdrawals(l.Withdrawals)
-	m.all = true
+	m.applyWithdrawals(l.Withdrawals)
+	m.allChanged = true
 	m.listed = make(map[string]Server, len(l.Servers))
 }
 
-func (m *Mirror) takeDifference(now time.Time, l Listing) {
+func (m *Mirror) applyDelta(now time.Time, l Listing) {
 	for _, id := range l.Removed {
 		m.changed[id] = true
 		delete(m.listed, id)
-		delete(m.adopted, id)
+		delete(m.retained, id)
 		delete(m.phases, id)
 	}
 	for _, w := range l.Withdrawals {
@@ -114,15 +114,15 @@
 	}
 	for _, id := range l.Unlisted {
 		if s, known := m.listed[id]; known {
-			m.adopt(now, s)
+			m.retain(now, s)
 			delete(m.listed, id)
 		}
 	}
 }
 
-func (m *Mirror) list(s Server) {
-	former := m.starts.Newest(s.OwnName())
-	if m.starts.Note(s.Start()) {
+func (m *Mirror) applyServer(s Server) {
+	former := m.starts.NewestID(s.StableName())
+	if m.starts.Record(s.Start()) {
 		m.changed[former] = true
 	}
 	m.changed[s.ID] = true
@@ -131,75 +131,75 @@
 		m.phases[s.ID] = s.Phase
 	}
 	m.listed[s.ID] = s
-	delete(m.adopted, s.ID)
+	delete(m.retained, s.ID)
 }
 
-func (m *Mirror) adopt(now time.Time, s Server) {
+func (m *Mirror) retain(now time.Time, s Server) {
 	s.Phase = max(s.Phase, m.phases[s.ID])
 	m.changed[s.ID] = true
-	m.adopted[s.ID] = s
-	m.adoptedUntil = now.Add(adoptTime)
+	m.retained[s.ID] = s
+	m.retainedUntil = now.Add(retentionTime)
 }
 
-func (m *Mirror) adoptAll(now time.Time) {
+func (m *Mirror) retainAll(now time.Time) {
 	for _, s := range m.listed {
-		m.adopt(now, s)
+		m.retain(now, s)
 	}
 }
 
-func (m *Mirror) noteWithdrawals(list []Withdrawal) {
+func (m *Mirror) applyWithdrawals(list []Withdrawal) {
 	m.phases = make(map[string]Phase, len(list))
 	for _, w := range list {
 		m.phases[w.ServerID] = w.Phase
 	}
-	for id, s := range m.adopted {
+	for id, s := range m.retained {
 		s.Phase = max(s.Phase, m.phases[id])
-		m.adopted[id] = s
+		m.retained[id] = s
 		if s.Phase == Departed {
-			delete(m.adopted, id)
+			delete(m.retained, id)
 		}
 	}
 }
 
-// Servers lists what is believed to be there, sorted by ID. The list must not be modified:
-// it is the same one until something changes. A change costs one copy of the list; to sort
-// thousands of servers for each is what an entry can't afford.
+// Servers returns the servers believed to exist, sorted by ID. The result must not be
+// modified: it is shared until something changes. A change costs one copy of the list;
+// sorting thousands of servers for each change takes an entry too long.
 func (m *Mirror) Servers(now time.Time) []Server {
-	if !now.Before(m.adoptedUntil) {
-		for id := range m.adopted {
+	if !now.Before(m.retainedUntil) {
+		for id := range m.retained {
 			m.changed[id] = true
 		}
-		clear(m.adopted)
+		clear(m.retained)
 	}
 	switch {
-	case m.all:
-		m.servers = m.sorted()
+	case m.allChanged:
+		m.servers = m.rebuildList()
 	case len(m.changed) > 0:
-		m.servers = m.merged()
+		m.servers = m.mergeChanges()
 	}
-	m.all = false
+	m.allChanged = false
 	clear(m.changed)
 	return m.servers
 }
 
-// believed returns the server with an ID, if it is believed to be there.
-func (m *Mirror) believed(id string) (Server, bool) {
+// lookUp returns a server if it is believed to exist.
+func (m *Mirror) lookUp(id string) (Server, bool) {
 	s, listed := m.listed[id]
 	if !listed {
-		var adopted bool
-		if s, adopted = m.adopted[id]; !adopted {
+		var retained bool
+		if s, retained = m.retained[id]; !retained {
 			return Server{}, false
 		}
 	}
 	return s, s.Phase != Departed && !m.starts.Stale(s.Start())
 }
 
-// sorted lists all servers anew.
-func (m *Mirror) sorted() []Server {
-	out := make([]Server, 0, len(m.listed)+len(m.adopted))
-	for _, known := range []map[string]Server{m.listed, m.adopted} {
+// rebuildList builds the list from scratch.
+func (m *Mirror) rebuildList() []Server {
+	out := make([]Server, 0, len(m.listed)+len(m.retained))
+	for _, known := range []map[string]Server{m.listed, m.retained} {
 		for id := range known {
-			if s, there := m.believed(id); there {
+			if s, exists := m.lookUp(id); exists {
 				out = append(out, s)
 			}
 		}
@@ -208,18 +208,18 @@
 	return out
 }
 
-// merged puts what has changed into a copy of the list.
-func (m *Mirror) merged() []Server {
+// mergeChanges copies the list and merges the changed servers into it.
+func (m *Mirror) mergeChanges() []Server {
 	out := make([]Server, 0, len(m.servers)+len(m.changed))
 	rest := m.servers
 	for _, id := range slices.Sorted(maps.Keys(m.changed)) {
-		place, found := Find(rest, id)
-		out = append(out, rest[:place]...)
-		rest = rest[place:]
+		index, found := Find(rest, id)
+		out = append(out, rest[:index]...)
+		rest = rest[index:]
 		if found {
 			rest = rest[1:]
 		}
-		if s, there := m.believed(id); there {
+		if s, exists := m.lookUp(id); exists {
 			out = append(out, s)
 		}
 	}
--- a/core/fleet/relay.go
+++ b/core/fleet/relay.go
@@ -6,96 +6,96 @@
 	"slices"
 )
 
-// Relay is a leader's fleet as an instance that passes it on has it. It gives the
-// difference between two points as the leader does, and also across a change of the
-// leader. The load pattern it answers: 3,000 engines, 300 entries and a group that is
-// short of processor time; 156 KB to each entry after each change of the leader take
-// what is left of it, so that the leader changes again. Not safe for concurrent use.
+// Relay holds a leader's fleet at an instance that forwards it. Like the leader it returns
+// the difference between two positions, but also across a change of the leader. With 3,000
+// engines and 300 entries, a full listing of 156 KB to each entry after each change of the
+// leader uses up the processor time of an overloaded group, so that the leader changes
+// again. Not safe for concurrent use.
 type Relay struct {
 	servers map[string]Server
-	// withdrawals are the leader's, and the servers that have departed since it named
-	// them: an entry may know those from elsewhere, and must not take them for servers
-	// that the leader has yet to hear of.
+	// withdrawals are those of the leader's full listing and the departures since. An entry
+	// may know these servers from elsewhere, and must not take them for servers that have
+	// yet to announce themselves to the leader.
 	withdrawals []Withdrawal
-	changes     Changes
-	// made are the listings that were made at the present point, by the point that they
-	// lead from; whole is the one of everything.
-	made  map[Point]*Listing
-	whole *Listing
+	changes     ChangeLog
+	// cached holds the differences computed for the current position, by the position they
+	// start from; full is the full listing.
+	cached map[Position]*Listing
+	full   *Listing
 }
 
-// mostMade bounds the listings that are kept: those who ask stand at a few points.
-const mostMade = 16
+// maxCachedListings bounds the cache: readers are at few different positions.
+const maxCachedListings = 16
 
-// At returns the point last taken.
-func (r *Relay) At() Point { return r.changes.At() }
+// Position returns the position of the listing applied last.
+func (r *Relay) Position() Position { return r.changes.Position() }
 
-// Take takes a leader's listing that follows what is held, and ignores others.
-func (r *Relay) Take(l Listing) {
-	if !l.follows(r.At()) || l.Difference && r.servers == nil {
+// Apply applies a leader's listing that follows the current position, and ignores others.
+func (r *Relay) Apply(l Listing) {
+	if !l.appliesTo(r.Position()) || l.Delta && r.servers == nil {
 		return
 	}
-	r.forgetMade()
+	r.invalidateCache()
 	switch {
-	case l.Difference:
-		r.takeDifference(l)
-	case l.Term > r.At().Term && r.servers != nil:
-		r.takeTerm(l)
+	case l.Delta:
+		r.applyDelta(l)
+	case l.Term > r.Position().Term && r.servers != nil:
+		r.applyNewTerm(l)
 	default:
-		r.changes.Restart(Point{l.Term, l.Version})
+		r.changes.Reset(Position{l.Term, l.Version})
 		r.servers = byID(l.Servers)
 	}
-	if !l.Difference {
+	if !l.Delta {
 		r.withdrawals = slices.Clone(l.Withdrawals)
 	}
 }
 
-// TakeLog takes what the log has at a revision, before any leader's. After a loss of
-// everything that is what entries begin with. The log does not tell what came and went
-// between two revisions, so that only the difference to the latest is known.
-func (r *Relay) TakeLog(servers []Server, withdrawals []Withdrawal, revision uint64) {
-	p := Point{Version: revision}
-	if r.At().Term > 0 || r.servers != nil && !p.after(r.At()) {
+// ApplyLog applies the content of the log at a revision, until a leader's listing is known.
+// Entries start with it after the loss of all instances. The log does not record what came
+// and went between two revisions, so that only the difference to the latest one is known.
+func (r *Relay) ApplyLog(servers []Server, withdrawals []Withdrawal, revision uint64) {
+	p := Position{Version: revision}
+	if r.Position().Term > 0 || r.servers != nil && !p.isAfter(r.Position()) {
 		return
 	}
-	r.forgetMade()
-	r.changes.Restart(p)
+	r.invalidateCache()
+	r.changes.Reset(p)
 	r.servers = byID(servers)
 	r.withdrawals = slices.Clone(withdrawals)
 }
 
-func (r *Relay) forgetMade() { r.made, r.whole = nil, nil }
+func (r *Relay) invalidateCache() { r.cached, r.full = nil, nil }
 
-// takeDifference takes what has changed within a leader's term; nothing is unlisted there.
-func (r *Relay) takeDifference(l Listing) {
-	r.changes.Advance(Point{l.Term, l.Version})
+// applyDelta applies a difference within a leader's term; nothing is unlisted there.
+func (r *Relay) applyDelta(l Listing) {
+	r.changes.Advance(Position{l.Term, l.Version})
 	for _, s := range l.Servers {
 		r.servers[s.ID] = s
-		r.changes.Changed(s.ID)
+		r.changes.RecordChanged(s.ID)
 	}
 	for _, id := range l.Removed {
 		delete(r.servers, id)
-		r.changes.Removed(id)
-		r.noteDeparted(id)
+		r.changes.RecordRemoved(id)
+		r.recordDeparture(id)
 	}
 }
 
-// takeTerm takes the first listing of another leader.
-func (r *Relay) takeTerm(l Listing) {
-	r.changes.Advance(Point{l.Term, l.Version})
-	gone := departed(l.Withdrawals)
+// applyNewTerm applies the first listing of another leader.
+func (r *Relay) applyNewTerm(l Listing) {
+	r.changes.Advance(Position{l.Term, l.Version})
+	gone := departedIDs(l.Withdrawals)
 	r.replaceAll(l.Servers, gone)
-	// Entries may know servers that this relay never did.
-	known := departed(r.withdrawals)
+	// Entries may know servers that this relay never listed.
+	known := departedIDs(r.withdrawals)
 	for id := range gone {
 		if !known[id] {
-			r.changes.Removed(id)
+			r.changes.RecordRemoved(id)
 		}
 	}
 }
 
-// departed returns the servers that are withdrawn for good.
-func departed(list []Withdrawal) map[string]bool {
+// departedIDs returns the servers that are withdrawn for good.
+func departedIDs(list []Withdrawal) map[string]bool {
 	out := map[string]bool{}
 	for _, w := range list {
 		if w.Phase == Departed {
@@ -105,7 +105,7 @@
 	return out
 }
 
-// replaceAll puts other servers in place and notes what differs.
+// replaceAll replaces all servers and records the differences.
 func (r *Relay) replaceAll(servers []Server, gone map[string]bool) {
 	before := r.servers
 	r.servers = byID(servers)
@@ -114,69 +114,68 @@
 			continue
 		}
 		if gone[id] {
-			r.changes.Removed(id)
+			r.changes.RecordRemoved(id)
 		} else {
-			r.changes.Unlisted(id)
+			r.changes.RecordUnlisted(id)
 		}
 	}
 	for id, s := range r.servers {
-		if old, known := before[id]; !known || !old.saysSame(s) {
-			r.changes.Changed(id)
+		if old, known := before[id]; !known || !old.equalExceptSequence(s) {
+			r.changes.RecordChanged(id)
 		}
 	}
 }
 
-func (r *Relay) noteDeparted(id string) {
+func (r *Relay) recordDeparture(id string) {
 	r.withdrawals = append(r.withdrawals, Withdrawal{ServerID: id, Phase: Departed})
-	if extra := len(r.withdrawals) - LoggedWithdrawals; extra > 0 {
+	if extra := len(r.withdrawals) - MaxLoggedWithdrawals; extra > 0 {
 		r.withdrawals = slices.Clone(r.withdrawals[extra:])
 	}
 }
 
-// Servers lists what is held, in no order.
+// Servers returns the held servers in no particular order.
 func (r *Relay) Servers() []Server { return slices.Collect(maps.Values(r.servers)) }
 
-// Knows reports whether the leader lists a server as it announces itself now, so that
-// nobody has to be told but that it is alive.
-func (r *Relay) Knows(s Server) bool {
+// IsUpToDate reports whether the leader already lists a server with everything it
+// announces, so that only a heartbeat has to be forwarded.
+func (r *Relay) IsUpToDate(s Server) bool {
 	listed, known := r.servers[s.ID]
-	return known && s.confirms(listed)
+	return known && s.isHeartbeatOf(listed)
 }
 
-// Listing returns what an instance lacks that stands at a point, nil when it lacks
-// nothing. An instance that is further than the relay lacks nothing either. Without
-// acrossTerms it gets everything after a change of the leader. Instances that lack the
-// same get the same listing, which nobody may change: hundreds ask at once, and everything
-// takes milliseconds to put together.
-func (r *Relay) Listing(since Point, acrossTerms bool) *Listing {
-	at := r.At()
-	if !at.after(since) {
+// Listing returns what an instance at a position lacks, or nil if it is up to date or ahead
+// of the relay. Without acrossTerms it returns a full listing after a change of the leader.
+// The result is shared and must not be modified: hundreds of instances ask at once, and
+// building a full listing takes milliseconds.
+func (r *Relay) Listing(since Position, acrossTerms bool) *Listing {
+	current := r.Position()
+	if !current.isAfter(since) {
 		return nil
 	}
-	if !acrossTerms && since.Term != at.Term {
-		return r.everything()
+	if !acrossTerms && since.Term != current.Term {
+		return r.fullListing()
 	}
-	if l := r.made[since]; l != nil {
+	if l := r.cached[since]; l != nil {
 		return l
 	}
 	d, known := r.changes.Since(since)
 	if !known {
-		return r.everything()
+		return r.fullListing()
 	}
-	l := d.listing(func(id string) Server { return r.servers[id] })
-	l.Term, l.Version = at.Term, at.Version
-	l.TermsBack, l.Since = at.Term-since.Term, since.Version
-	l.Withdrawals = r.withdrawalsOf(l.Unlisted)
-	if r.made == nil {
-		r.made = map[Point]*Listing{}
+	l := d.newListing(func(id string) Server { return r.servers[id] })
+	l.Term, l.Version = current.Term, current.Version
+	l.TermsBack, l.Since = current.Term-since.Term, since.Version
+	l.Withdrawals = r.withdrawalsFor(l.Unlisted)
+	if r.cached == nil {
+		r.cached = map[Position]*Listing{}
 	}
-	if len(r.made) < mostMade {
-		r.made[since] = l
+	if len(r.cached) < maxCachedListings {
+		r.cached[since] = l
 	}
 	return l
 }
 
-func (r *Relay) withdrawalsOf(ids []string) []Withdrawal {
+func (r *Relay) withdrawalsFor(ids []string) []Withdrawal {
 	if len(ids) == 0 {
 		return nil
 	}
@@ -187,13 +186,13 @@
 	return slices.DeleteFunc(slices.Clone(r.withdrawals), func(w Withdrawal) bool { return !asked[w.ServerID] })
 }
 
-func (r *Relay) everything() *Listing {
-	if r.whole == nil {
-		r.whole = wholeListing(maps.Values(r.servers))
-		r.whole.Term, r.whole.Version = r.At().Term, r.At().Version
-		r.whole.Withdrawals = slices.Clone(r.withdrawals)
+func (r *Relay) fullListing() *Listing {
+	if r.full == nil {
+		r.full = newFullListing(maps.Values(r.servers))
+		r.full.Term, r.full.Version = r.Position().Term, r.Position().Version
+		r.full.Withdrawals = slices.Clone(r.withdrawals)
 	}
-	return r.whole
+	return r.full
 }
 
 func byID(list []Server) map[string]Server {
@@ -204,16 +203,16 @@
 	return out
 }
 
-func wholeListing(all iter.Seq[Server]) *Listing {
+func newFullListing(all iter.Seq[Server]) *Listing {
 	l := &Listing{Servers: slices.Collect(all)}
 	l.sort()
 	return l
 }
 
-// listing returns the difference with the servers as they are now; the points are left
-// to the caller.
-func (d *Difference) listing(server func(id string) Server) *Listing {
-	l := &Listing{Difference: true, Removed: d.Removed, Unlisted: d.Unlisted}
+// newListing returns the difference with the current state of the servers; the caller sets
+// the positions.
+func (d *Delta) newListing(server func(id string) Server) *Listing {
+	l := &Listing{Delta: true, Removed: d.Removed, Unlisted: d.Unlisted}
 	for _, id := range d.Changed {
 		l.Servers = append(l.Servers, server(id))
 	}
--- a/core/fleet/relay_test.go
+++ b/core/fleet/relay_test.go
@@ -13,22 +13,23 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// group plays a replica group with two instances that follow the leader, and the log.
-type group struct {
+// testGroup simulates a replica group with a leader, two relays that follow it, and the
+// log.
+type testGroup struct {
 	registry *Registry
 	term     uint64
 	relays   []*Relay
-	// logged and withdrawn are what the log has, at a revision.
+	// logged and withdrawn are the content of the log at a revision.
 	logged    map[string]Server
 	withdrawn []Withdrawal
 	revision  uint64
 }
 
-func newGroup() *group {
-	return &group{registry: NewRegistry(), term: 1, relays: []*Relay{{}, {}}, logged: map[string]Server{}}
+func newGroup() *testGroup {
+	return &testGroup{registry: NewRegistry(), term: 1, relays: []*Relay{{}, {}}, logged: map[string]Server{}}
 }
 
-func (g *group) register(s Server) {
+func (g *testGroup) register(s Server) {
 	if _, known := g.logged[s.ID]; known || slices.Contains(g.withdrawn, Withdrawal{s.ID, Departed}) {
 		return
 	}
@@ -36,7 +37,7 @@
 	g.revision++
 }
 
-func (g *group) withdraw(id string, p Phase) {
+func (g *testGroup) withdraw(id string, p Phase) {
 	if slices.ContainsFunc(g.withdrawn, func(w Withdrawal) bool { return w.ServerID == id && w.Phase >= p }) {
 		return
 	}
@@ -53,55 +54,55 @@
 	g.registry.Withdraw(id, p)
 }
 
-func (g *group) log() []Server { return slices.Collect(maps.Values(g.logged)) }
+func (g *testGroup) log() []Server { return slices.Collect(maps.Values(g.logged)) }
 
-// changeLeader begins a term with what the log has.
-func (g *group) changeLeader(now time.Time) {
+// changeLeader starts a new term with the content of the log.
+func (g *testGroup) changeLeader(now time.Time) {
 	g.registry, g.term = NewRegistry(), g.term+1
 	for _, w := range g.withdrawn {
 		g.registry.Withdraw(w.ServerID, w.Phase)
 	}
-	g.registry.Remember(now, g.log())
+	g.registry.Restore(now, g.log())
 }
 
-func (g *group) listing(at Point) *Listing {
+func (g *testGroup) listing(at Position) *Listing {
 	l := g.registry.Listing(at.Term == g.term, at.Version)
 	l.Term = g.term
-	if !l.Difference {
+	if !l.Delta {
 		l.Withdrawals = slices.Clone(g.withdrawn)
 	}
 	return l
 }
 
-func (g *group) follow(r *Relay) { r.Take(*g.listing(r.At())) }
+func (g *testGroup) follow(r *Relay) { r.Apply(*g.listing(r.Position())) }
 
-func (g *group) restart(i int) {
+func (g *testGroup) restart(i int) {
 	g.relays[i] = &Relay{}
-	g.relays[i].TakeLog(g.log(), g.withdrawn, g.revision)
+	g.relays[i].ApplyLog(g.log(), g.withdrawn, g.revision)
 }
 
-// Entries that take differences, from instances that pass them on, and change between
-// these, must list what the leader lists, over changes of the leader, restarts of the
-// instances and starts from the log; and never a server whose departure those know.
-func TestDifferencesLeadToTheSameFleet(t *testing.T) {
-	differences, whole := 0, 0
+// Entries that apply differences from relays, and switch between these, must end up with
+// the leader's servers, across changes of the leader, restarts of the relays and starts
+// from the log. They must never list a server whose departure the relays know.
+func TestDifferencesConvergeToTheLeadersFleet(t *testing.T) {
+	differences, full := 0, 0
 	p := gopter.NewProperties(nil)
 	p.Property("same fleet", prop.ForAll(func(seed int64) string {
 		rnd := rand.New(rand.NewSource(seed))
 		g := newGroup()
 		mirrors := []*Mirror{NewMirror(), NewMirror(), NewMirror()}
 		now := t0
-		take := func(m *Mirror, from int) {
-			l := g.relays[from].Listing(m.At(), rnd.Intn(8) > 0)
+		update := func(m *Mirror, from int) {
+			l := g.relays[from].Listing(m.Position(), rnd.Intn(8) > 0)
 			if l == nil {
 				return
 			}
-			if l.Difference {
+			if l.Delta {
 				differences++
 			} else {
-				whole++
+				full++
 			}
-			m.Take(now, *l)
+			m.Apply(now, *l)
 		}
 		for i := range 300 {
 			now = now.Add(50 * time.Millisecond)
@@ -118,7 +119,7 @@
 			case 5:
 				g.withdraw(id, Draining)
 			case 6:
-				g.registry.Expire(now)
+				g.registry.MarkOverdue(now)
 			case 7:
 				if rnd.Intn(4) == 0 {
 					g.changeLeader(now)
@@ -128,27 +129,27 @@
 					g.restart(rnd.Intn(2))
 				}
 			case 9:
-				g.relays[rnd.Intn(2)].TakeLog(g.log(), g.withdrawn, g.revision)
+				g.relays[rnd.Intn(2)].ApplyLog(g.log(), g.withdrawn, g.revision)
 			case 10:
 				m := mirrors[rnd.Intn(3)]
-				if m.At().Term == 0 {
-					m.Take(now, Listing{Version: g.revision, Servers: g.log()})
+				if m.Position().Term == 0 {
+					m.Apply(now, Listing{Version: g.revision, Servers: g.log()})
 				}
 			case 11, 12:
 				g.follow(g.relays[rnd.Intn(2)])
 			default:
-				take(mirrors[rnd.Intn(3)], rnd.Intn(2))
+				update(mirrors[rnd.Intn(3)], rnd.Intn(2))
 			}
 		}
 		g.follow(g.relays[0])
 		for i, m := range mirrors {
-			take(m, 0)
+			update(m, 0)
 			for _, s := range m.Servers(now) {
 				if slices.Contains(g.withdrawn, Withdrawal{s.ID, Departed}) {
 					return fmt.Sprintf("mirror %d lists %s, which has departed", i, s.ID)
 				}
 			}
-			got, want := m.Servers(now.Add(adoptTime)), g.registry.Servers()
+			got, want := m.Servers(now.Add(retentionTime)), g.registry.Servers()
 			if len(got) != len(want) {
 				return fmt.Sprintf("mirror %d has %d servers, the leader %d", i, len(got), len(want))
 			}
@@ -161,15 +162,15 @@
 		return ""
 	}, gen.Int64()))
 	p.TestingRun(t)
-	t.Logf("%d differences, %d whole listings", differences, whole)
-	if whole > differences {
-		t.Errorf("%d whole listings for %d differences", whole, differences)
+	t.Logf("%d differences, %d full listings", differences, full)
+	if full > differences {
+		t.Errorf("%d full listings for %d differences", full, differences)
 	}
 }
 
-// After a change of the leader, entries must not be sent everything: 156 KB to each of
-// 300 entries, with 3,000 engines, take a group that is short of time the rest of it.
-func TestChangeOfTheLeaderIsToldInDifferences(t *testing.T) {
+// After a change of the leader, entries must not be sent full listings: 156 KB to each of
+// 300 entries, with 3,000 engines, use up the processor time of an overloaded group.
+func TestLeaderChangeIsSentAsDifference(t *testing.T) {
 	const engines = 3000
 	g := newGroup()
 	for i := range engines {
@@ -178,63 +179,62 @@
 	}
 	g.restart(0)
 	entry := NewMirror()
-	entry.Take(t0, Listing{Version: g.revision, Servers: g.log()})
+	entry.Apply(t0, Listing{Version: g.revision, Servers: g.log()})
 	for range 5 {
 		g.changeLeader(t0)
 		g.registry.Announce(t0, Server{ID: fmt.Sprint("new", g.term), Pool: "p", Sequence: 1})
 		g.follow(g.relays[0])
-		l := g.relays[0].Listing(entry.At(), true)
-		if !l.Difference || len(l.Servers) != 1 || len(l.Removed) > 0 {
-			t.Fatalf("term %d: %d servers are told, as a difference: %v", g.term, len(l.Servers), l.Difference)
+		l := g.relays[0].Listing(entry.Position(), true)
+		if !l.Delta || len(l.Servers) != 1 || len(l.Removed) > 0 {
+			t.Fatalf("term %d: %d servers are sent, delta is %v", g.term, len(l.Servers), l.Delta)
 		}
-		entry.Take(t0, *l)
+		entry.Apply(t0, *l)
 	}
 	if got := len(entry.Servers(t0)); got != engines+5 {
 		t.Errorf("%d servers are listed", got)
 	}
 }
 
-// While every engine is replaced, an instance that watches must be told the changes,
-// not 120 engines each time.
-func TestReleaseIsToldInDifferences(t *testing.T) {
+// While every engine is replaced, a watcher must be sent the changes, not 120 engines each
+// time.
+func TestReleaseIsSentAsDifferences(t *testing.T) {
 	const engines = 120
 	r := NewRegistry()
 	for i := range engines {
 		r.Announce(t0, Server{ID: fmt.Sprint("old", i), Address: fmt.Sprint("old", i)})
 	}
-	version, told := r.Version(), 0
+	version, sent := r.Version(), 0
 	for i := range engines {
 		r.Announce(t0, Server{ID: fmt.Sprint("new", i), Address: fmt.Sprint("new", i)})
 		r.Withdraw(fmt.Sprint("old", i), Draining)
 		r.Depart(fmt.Sprint("old", i))
 		l := r.Listing(true, version)
-		if !l.Difference {
-			t.Fatal("everything is told")
+		if !l.Delta {
+			t.Fatal("a full listing was sent")
 		}
 		version = l.Version
-		told += len(l.Servers) + len(l.Removed)
+		sent += len(l.Servers) + len(l.Removed)
 	}
-	if told > 2*engines {
-		t.Errorf("%d servers were told for %d that were replaced", told, engines)
+	if sent > 2*engines {
+		t.Errorf("%d servers were sent for %d that were replaced", sent, engines)
 	}
 }
 
-// An entry went on using a server that had departed, for six seconds after the
-// departure was acknowledged. The entry began with what a replica's log held, where the
-// server still stood, and then got the fleet from a replica that follows the leader.
-// That one named as withdrawn only what was so when it first heard of the leader; the
-// entry took the server for one that the leader had yet to hear of. In the log of a
-// test whose entry started while servers left:
+// A relay that recorded only the withdrawals of the leader's first full listing left out
+// later departures. An entry that had started from a replica's log, in which the server was
+// still listed, then took the departed server for one that had yet to announce itself to
+// the leader, and used it for six more seconds. Log of a test whose entry started while
+// servers left:
 //
 //	18.277 server leaves  phase=departed server=s0
 //	18.294 declaration in force  version=1
 //	20.538 listed: [s0 s10 s11 s12 s13 s14 s15 s16 s17 s18 s19]
-func TestServerThatDepartsDuringATermIsNotAdopted(t *testing.T) {
+func TestServerThatDepartsDuringATermIsNotRetained(t *testing.T) {
 	leader, relay, entry := NewRegistry(), &Relay{}, NewMirror()
 	follow := func() {
-		l := leader.Listing(relay.At().Term == 2, relay.At().Version)
+		l := leader.Listing(relay.Position().Term == 2, relay.Position().Version)
 		l.Term = 2
-		relay.Take(*l)
+		relay.Apply(*l)
 	}
 	leader.Announce(t0, server("a", 1))
 	leader.Announce(t0, server("b", 1))
@@ -243,51 +243,52 @@
 	leader.Depart("a")
 	follow()
 
-	entry.Take(t0, fromLog)
-	entry.Take(t0, *relay.Listing(entry.At(), true))
+	entry.Apply(t0, fromLog)
+	entry.Apply(t0, *relay.Listing(entry.Position(), true))
 	if got := entry.Servers(t0); len(got) != 1 || got[0].ID != "b" {
 		t.Errorf("the entry lists %v; a has departed", got)
 	}
 }
 
-// A server announces itself to a leader that is lost before its log had it, and departs
-// under the next one, which never knew it. Entries that did must hear of it.
-func TestDepartureOfAServerTheLeaderNeverKnew(t *testing.T) {
+// A server announces itself to a leader that is lost before the log has it, and departs
+// under the next leader, which never listed it. Entries that listed it must be sent the
+// departure.
+func TestDepartureOfAServerTheLeaderNeverListed(t *testing.T) {
 	first, second := NewRegistry(), NewRegistry()
 	relay, entry := &Relay{}, NewMirror()
 	first.Announce(t0, server("a", 1))
 	listing := func(r *Registry, term uint64) Listing {
-		l := r.Listing(term == relay.At().Term, relay.At().Version)
+		l := r.Listing(term == relay.Position().Term, relay.Position().Version)
 		l.Term = term
 		return *l
 	}
-	take := func(l Listing) {
-		relay.Take(l)
-		entry.Take(t0, *relay.Listing(entry.At(), true))
+	apply := func(l Listing) {
+		relay.Apply(l)
+		entry.Apply(t0, *relay.Listing(entry.Position(), true))
 	}
-	take(listing(first, 1))
+	apply(listing(first, 1))
 	second.Announce(t0, server("b", 1))
-	take(listing(second, 2))
+	apply(listing(second, 2))
 	if got := len(entry.Servers(t0)); got != 2 {
-		t.Fatalf("%d servers are listed; the new leader may yet hear of a", got)
+		t.Fatalf("%d servers are listed; a may still announce itself to the new leader", got)
 	}
 	second.Depart("a")
-	take(listing(second, 2))
+	apply(listing(second, 2))
 	if got := entry.Servers(t0); len(got) != 1 || got[0].ID != "b" {
 		t.Errorf("the entry lists %v; a has departed", got)
 	}
 }
 
-// Departures that the log names again with each of its changes are no news.
-func TestDepartureReadAgainChangesNothing(t *testing.T) {
+// Departures read from the log again are not changes.
+func TestDepartureReadAgainIsNoChange(t *testing.T) {
 	r := NewRegistry()
 	read := func() {
-		for i := range LoggedWithdrawals {
+		for i := range MaxLoggedWithdrawals {
 			r.Withdraw(fmt.Sprint("gone", i), Departed)
 		}
 	}
 	read()
-	for i := range LoggedWithdrawals / 2 {
+	for i := range MaxLoggedWithdrawals / 2 {
 		r.Depart(fmt.Sprint("other", i))
 	}
 	before := r.Version()
@@ -297,46 +298,46 @@
 	}
 }
 
-// When the leader is late, servers count as overdue all at once. Their heartbeats must
-// not each be told to it for that.
-func TestHeartbeatsOfOverdueServersSayNothingNew(t *testing.T) {
+// When the leader falls behind, all servers become overdue at once. Their heartbeats must
+// not each be forwarded as announcements because of that.
+func TestHeartbeatsOfOverdueServersAreUpToDate(t *testing.T) {
 	leader, relay := NewRegistry(), &Relay{}
 	leader.Announce(t0, server("a", 1))
-	leader.Expire(t0.Add(OverdueAfter))
+	leader.MarkOverdue(t0.Add(OverdueAfter))
 	l := leader.Listing(false, 0)
 	l.Term = 1
-	relay.Take(*l)
-	if !relay.Knows(server("a", 2)) || !leader.Knows(server("a", 2)) {
-		t.Error("an overdue server's heartbeat counts as news")
+	relay.Apply(*l)
+	if !relay.IsUpToDate(server("a", 2)) || !leader.IsUpToDate(server("a", 2)) {
+		t.Error("an overdue server's heartbeat is not recognized as one")
 	}
-	leader.Heard(t0.Add(OverdueAfter), "a", 2)
+	leader.RecordHeartbeat(t0.Add(OverdueAfter), "a", 2)
 	if leader.Servers()[0].Overdue {
-		t.Error("the server is overdue though it was heard")
+		t.Error("the server is still overdue after its heartbeat")
 	}
 }
 
-// Hundreds of instances that ask for the same must not each have it put together anew, and
-// what they were given must not change with the fleet.
-func TestInstancesThatLackTheSameGetTheSameListing(t *testing.T) {
+// Hundreds of instances that ask for the same difference share one listing, and a returned
+// listing must not change with the fleet.
+func TestReadersAtOnePositionShareTheListing(t *testing.T) {
 	r := &Relay{}
-	r.Take(Listing{Term: 1, Version: 1, Servers: []Server{{ID: "a"}, {ID: "b"}}})
-	r.Take(Listing{Term: 1, Version: 2, Difference: true, Since: 1, Servers: []Server{{ID: "c"}}})
-	whole := r.Listing(Point{}, true)
-	if whole != r.Listing(Point{Version: 7}, true) || len(whole.Servers) != 3 {
-		t.Errorf("everything is %+v", whole)
+	r.Apply(Listing{Term: 1, Version: 1, Servers: []Server{{ID: "a"}, {ID: "b"}}})
+	r.Apply(Listing{Term: 1, Version: 2, Delta: true, Since: 1, Servers: []Server{{ID: "c"}}})
+	full := r.Listing(Position{}, true)
+	if full != r.Listing(Position{Version: 7}, true) || len(full.Servers) != 3 {
+		t.Errorf("the full listing is %+v", full)
 	}
-	d := r.Listing(Point{1, 1}, true)
-	if d != r.Listing(Point{1, 1}, true) || len(d.Servers) != 1 {
+	d := r.Listing(Position{1, 1}, true)
+	if d != r.Listing(Position{1, 1}, true) || len(d.Servers) != 1 {
 		t.Errorf("the difference is %+v", d)
 	}
-	r.Take(Listing{Term: 1, Version: 3, Difference: true, Since: 2, Removed: []string{"a"}})
-	if len(whole.Servers) != 3 || len(d.Servers) != 1 {
-		t.Errorf("what was given has become %+v and %+v", whole, d)
+	r.Apply(Listing{Term: 1, Version: 3, Delta: true, Since: 2, Removed: []string{"a"}})
+	if len(full.Servers) != 3 || len(d.Servers) != 1 {
+		t.Errorf("returned listings have become %+v and %+v", full, d)
 	}
-	if got := r.Listing(Point{}, true); got == whole || len(got.Servers) != 2 {
-		t.Errorf("everything is still %+v", got)
+	if got := r.Listing(Position{}, true); got == full || len(got.Servers) != 2 {
+		t.Errorf("the full listing is still %+v", got)
 	}
-	if got := r.Listing(Point{1, 1}, true); got == d || len(got.Removed) != 1 {
+	if got := r.Listing(Position{1, 1}, true); got == d || len(got.Removed) != 1 {
 		t.Errorf("the difference is still %+v", got)
 	}
 }
--- a/core/fleet/starts.go
+++ b/core/fleet/starts.go
@@ -7,47 +7,46 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// keptStarts bounds the servers whose newest start is remembered: as many as a registry
+// maxStarts bounds the servers whose newest start is remembered: as many as a registry
 // holds, so that none of its servers is taken for a new one.
-const keptStarts = maxServers
+const maxStarts = maxServers
 
-// Start is one start of a server that keeps its name.
+// Start identifies one start of a server that keeps its name.
 type Start struct {
 	Name string `msgpack:"n"`
-	// Born is in Unix milliseconds by the server's clock, zero for unknown.
-	Born int64 `msgpack:"b"`
+	// StartedAt is in Unix milliseconds by the server's clock, zero if unknown.
+	StartedAt int64 `msgpack:"b"`
 }
 
-// Start returns which start the server is.
-func (s *Server) Start() Start { return Start{s.OwnName(), s.Born} }
+func (s *Server) Start() Start { return Start{s.StableName(), s.StartedAt} }
 
-// StartID returns the ID of a start: the server's own name where it does not say
-// when it started. Everything that is kept by ID then ends with the start: counts,
-// health, connections.
+// StartID returns the ID of a start, or the server's own name if it does not announce when
+// it started. Everything that is kept by ID thus ends with the start: counts, health,
+// connections.
 func StartID(start Start) string {
-	if start.Born == 0 {
+	if start.StartedAt == 0 {
 		return start.Name
 	}
-	return start.Name + "@" + strconv.FormatInt(start.Born, 10)
+	return start.Name + "@" + strconv.FormatInt(start.StartedAt, 10)
 }
 
-// Starts knows the newest start of each server. It answers servers that crash and
-// start again under their name: what the former start has said may arrive seconds
-// later, or through an instance that was cut off, and must not bring it back. The
-// zero value knows none. Not safe for concurrent use.
+// Starts holds the newest start of each server. A server may crash and start again under
+// the same name; announcements of its former start can arrive seconds later, or through an
+// instance that was partitioned off, and must not bring that start back. The zero value is
+// empty. Not safe for concurrent use.
 type Starts struct {
 	newest map[string]int64
-	// order has the names as their newest starts were noted.
+	// order holds the names in the order in which their newest starts were recorded.
 	order []string
 }
 
 // Stale reports whether a newer start of the server is known.
-func (s *Starts) Stale(start Start) bool { return start.Born < s.newest[start.Name] }
+func (s *Starts) Stale(start Start) bool { return start.StartedAt < s.newest[start.Name] }
 
-// Note takes a start and reports whether it follows another one or is the first.
-// Starts without a time are not kept: each has its own name.
-func (s *Starts) Note(start Start) bool {
-	if start.Born <= s.newest[start.Name] {
+// Record records a start and reports whether it is newer than the one known, if any. Starts
+// without a time are not recorded: each has its own name.
+func (s *Starts) Record(start Start) bool {
+	if start.StartedAt <= s.newest[start.Name] {
 		return false
 	}
 	if s.newest == nil {
@@ -56,19 +55,19 @@
 	if _, known := s.newest[start.Name]; known {
 		s.order = slices.DeleteFunc(s.order, func(name string) bool { return name == start.Name })
 	}
-	s.newest[start.Name] = start.Born
+	s.newest[start.Name] = start.StartedAt
 	s.order = append(s.order, start.Name)
-	if len(s.order) > keptStarts {
+	if len(s.order) > maxStarts {
 		delete(s.newest, s.order[0])
 		s.order = s.order[1:]
 	}
 	return true
 }
 
-// Newest returns the ID of the newest start known of a server.
-func (s *Starts) Newest(name string) string { return StartID(Start{name, s.newest[name]}) }
+// NewestID returns the ID of the newest known start of a server.
+func (s *Starts) NewestID(name string) string { return StartID(Start{name, s.newest[name]}) }
 
-// List returns all starts, in the order in which they were noted.
+// List returns all starts, in the order in which they were recorded.
 func (s *Starts) List() []Start {
 	out := make([]Start, 0, len(s.order))
 	for _, name := range s.order {
@@ -80,7 +79,7 @@
 // EncodeMsgpack writes the list of starts.
 func (s *Starts) EncodeMsgpack(e *msgpack.Encoder) error { return e.Encode(s.List()) }
 
-// DecodeMsgpack reads what EncodeMsgpack writes.
+// DecodeMsgpack reads the output of EncodeMsgpack.
 func (s *Starts) DecodeMsgpack(d *msgpack.Decoder) error {
 	var list []Start
 	if err := d.Decode(&list); err != nil {
@@ -88,7 +87,7 @@
 	}
 	*s = Starts{}
 	for _, x := range list {
-		s.Note(x)
+		s.Record(x)
 	}
 	return nil
 }
--- a/core/state/fuzz_test.go
+++ b/core/state/fuzz_test.go
@@ -13,8 +13,8 @@
 	for _, c := range []Command{
 		{Type: CommandDeclare, Declare: &DeclareCommand{Version: 3, Declaration: []byte("d"), Source: []byte("s")}},
 		{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "a", Phase: fleet.Departed}},
-		{Type: CommandRegister, Servers: []fleet.Server{{ID: "b", Pool: "p"}, {ID: "c@1", Name: "c", Born: 1}}},
-		{Type: CommandRegister, Register: &fleet.Server{ID: "a@7", Name: "a", Born: 7, Pool: "p"}},
+		{Type: CommandRegister, Servers: []fleet.Server{{ID: "b", Pool: "p"}, {ID: "c@1", Name: "c", StartedAt: 1}}},
+		{Type: CommandRegister, Register: &fleet.Server{ID: "a@7", Name: "a", StartedAt: 7, Pool: "p"}},
 		{Type: CommandRule, Rule: &quarantine.Ruling{Standing: quarantine.Held, Version: 2, Servers: []string{"a"}}},
 		{Type: CommandOrderLease, Lease: &LeaseCommand{Owner: "x"}},
 		{Type: CommandClaim, Call: &CallCommand{CallID: "c", Owner: "o", Key: CallKey{Key: "k", Millis: 5}}},
--- a/core/state/register_bench_test.go
+++ b/core/state/register_bench_test.go
@@ -16,7 +16,7 @@
 		for range 512 {
 			n++
 			name := fmt.Sprintf("i-%010d", n)
-			c.Servers = append(c.Servers, fleet.Server{ID: fleet.StartID(fleet.Start{Name: name, Born: int64(n)}), Name: name, Born: int64(n), Pool: "p", Address: "10.1.2.3:8000", Zone: "z"})
+			c.Servers = append(c.Servers, fleet.Server{ID: fleet.StartID(fleet.Start{Name: name, StartedAt: int64(n)}), Name: name, StartedAt: int64(n), Pool: "p", Address: "10.1.2.3:8000", Zone: "z"})
 		}
 		return c.Encode()
 	}
--- a/core/state/routing.go
+++ b/core/state/routing.go
@@ -65,7 +65,7 @@
 	known := make(map[string]bool, 2*len(list))
 	for i := range list {
 		known[list[i].ID] = false
-		known[s.Starts.Newest(list[i].OwnName())] = false
+		known[s.Starts.NewestID(list[i].StableName())] = false
 	}
 	note := func(id string) {
 		if _, asked := known[id]; asked {
@@ -87,9 +87,9 @@
 	if s.Starts.Stale(start) {
 		return
 	}
-	if former := s.Starts.Newest(start.Name); s.Starts.Note(start) {
+	if former := s.Starts.NewestID(start.Name); s.Starts.Record(start) {
 		if known[former] {
-			s.Servers = slices.DeleteFunc(s.Servers, func(x fleet.Server) bool { return x.OwnName() == start.Name && x.Born < start.Born })
+			s.Servers = slices.DeleteFunc(s.Servers, func(x fleet.Server) bool { return x.StableName() == start.Name && x.StartedAt < start.StartedAt })
 		}
 		s.Revision++
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-// withdraw notes withdrawals, the latest fleet.LoggedWithdrawals of them. A later phase
+// withdraw notes withdrawals, the latest fleet.MaxLoggedWithdrawals of them. A later phase
 // replaces an earlier one.
 func (s *routingState) withdraw(list []fleet.Withdrawal) Result {
 	phases := make(map[string]fleet.Phase, len(list))
@@ -139,7 +139,7 @@
 		noted[w.ServerID] = len(s.Withdrawals)
 		s.Withdrawals = append(s.Withdrawals, w)
 	}
-	s.Withdrawals = slices.Delete(s.Withdrawals, 0, max(0, len(s.Withdrawals)-fleet.LoggedWithdrawals))
+	s.Withdrawals = slices.Delete(s.Withdrawals, 0, max(0, len(s.Withdrawals)-fleet.MaxLoggedWithdrawals))
 	return Result{Code: CodeOK}
 }
 
--- a/core/state/routing_test.go
+++ b/core/state/routing_test.go
@@ -62,13 +62,13 @@
 func TestNewestStartIsRemembered(t *testing.T) {
 	m := New()
 	register := func(born int64) {
-		s := fleet.Server{ID: fleet.StartID(fleet.Start{Name: "a", Born: born}), Name: "a", Born: born, Pool: "p"}
+		s := fleet.Server{ID: fleet.StartID(fleet.Start{Name: "a", StartedAt: born}), Name: "a", StartedAt: born, Pool: "p"}
 		m.Apply((&Command{Type: CommandRegister, Register: &s}).Encode())
 	}
 	register(100)
 	register(200)
 	register(100)
-	if got := m.Routing(); len(got.Servers) != 1 || got.Servers[0].Born != 200 {
+	if got := m.Routing(); len(got.Servers) != 1 || got.Servers[0].StartedAt != 200 {
 		t.Fatalf("registered are %+v", got.Servers)
 	}
 	m.Apply((&Command{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "a@200", Phase: fleet.Departed}}).Encode())
@@ -80,11 +80,11 @@
 	register(100)
 	register(200)
 	got := m.Routing()
-	if len(got.Servers) != 0 || len(got.Starts) != 1 || got.Starts[0] != (fleet.Start{Name: "a", Born: 200}) {
+	if len(got.Servers) != 0 || len(got.Starts) != 1 || got.Starts[0] != (fleet.Start{Name: "a", StartedAt: 200}) {
 		t.Errorf("after its departure: servers %+v, starts %+v", got.Servers, got.Starts)
 	}
 	register(300)
-	if got := m.Routing(); len(got.Servers) != 1 || got.Servers[0].Born != 300 {
+	if got := m.Routing(); len(got.Servers) != 1 || got.Servers[0].StartedAt != 300 {
 		t.Errorf("the next start is not registered: %+v", got.Servers)
 	}
 }
@@ -103,7 +103,7 @@
 func TestServersAreWithdrawnTogether(t *testing.T) {
 	var register, together Command
 	register.Type, together.Type = CommandRegister, CommandWithdraw
-	for i := range fleet.LoggedWithdrawals + 100 {
+	for i := range fleet.MaxLoggedWithdrawals + 100 {
 		id := fmt.Sprint("s", i)
 		register.Servers = append(register.Servers, fleet.Server{ID: id})
 		if i%3 > 0 {
--- a/daemon/capacity/orderer.go
+++ b/daemon/capacity/orderer.go
@@ -135,7 +135,7 @@
 			z.ReclaimableLeaving++
 		case s.Phase == fleet.Draining:
 			z.RegularLeaving++
-		case !s.TakesWork():
+		case !s.AcceptsWork():
 		case s.Reclaimable:
 			z.Reclaimable++
 		default:
--- a/daemon/control/alive.go
+++ b/daemon/control/alive.go
@@ -40,7 +40,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.relay.lately() || !s.relay.fleet.Knows(server) {
+	if !s.relay.lately() || !s.relay.fleet.IsUpToDate(server) {
 		return false
 	}
 	s.alive.note(server.ID, server.Sequence)
@@ -51,7 +51,7 @@
 	s.follow(v)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.registry.Knows(server) && s.registry.Heard(time.Now(), server.ID, server.Sequence)
+	return s.registry.IsUpToDate(server) && s.registry.RecordHeartbeat(time.Now(), server.ID, server.Sequence)
 }
 
 // tellAlive hands what has gathered to the leader, until the context ends.
@@ -86,7 +86,7 @@
 	var list alive
 	return s.takeAtLeader(body, &list, func(now time.Time) {
 		for id, sequence := range list {
-			s.registry.Heard(now, id, sequence)
+			s.registry.RecordHeartbeat(now, id, sequence)
 		}
 	})
 }
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -107,7 +107,7 @@
 		}
 		s.update(func() {
 			s.relay.led = boottime.Now()
-			s.registry.Expire(now)
+			s.registry.MarkOverdue(now)
 		})
 	})
 }
@@ -124,7 +124,7 @@
 			return
 		}
 		s.mu.Lock()
-		silent := s.registry.Silent(now)
+		silent := s.registry.TimedOut(now)
 		s.mu.Unlock()
 		for batch := range slices.Chunk(silent, mostDeparting) {
 			if err := s.departAll(ctx, batch); err != nil {
@@ -260,7 +260,7 @@
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	id := fleet.StartID(start)
-	if start.Born == 0 {
+	if start.StartedAt == 0 {
 		var err error
 		if id, err = s.newestStart(ctx, start.Name); err != nil {
 			return err
@@ -291,7 +291,7 @@
 	s.follow(v)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return newestReply{ID: s.registry.Newest(name)}, nil
+	return newestReply{ID: s.registry.NewestID(name)}, nil
 }
 
 func (s *Service) withdraw(ctx context.Context, w fleet.Withdrawal, server *fleet.Server) error {
@@ -325,14 +325,14 @@
 			return
 		}
 		s.revision = v.Routing.Revision
-		s.relay.fleet.TakeLog(v.Routing.Servers, v.Routing.Withdrawals, v.Routing.Revision)
-		s.registry.NoteStarts(v.Routing.Starts)
+		s.relay.fleet.ApplyLog(v.Routing.Servers, v.Routing.Withdrawals, v.Routing.Revision)
+		s.registry.RecordStarts(v.Routing.Starts)
 		for _, w := range v.Routing.Withdrawals {
 			s.registry.Withdraw(w.ServerID, w.Phase)
 		}
 		if newTerm {
 			s.ledTerm = v.Term
-			s.registry.Remember(time.Now(), v.Routing.Servers)
+			s.registry.Restore(time.Now(), v.Routing.Servers)
 		}
 	})
 }
--- a/daemon/control/news.go
+++ b/daemon/control/news.go
@@ -165,22 +165,22 @@
 	if v.Leading {
 		// Who leads relays its own fleet: entries that knew the leader before get the
 		// difference from it as from any other replica.
-		if l := s.leaderListing(s.relay.fleet.At(), true, v); l != nil {
-			s.relay.fleet.Take(*l)
+		if l := s.leaderListing(s.relay.fleet.Position(), true, v); l != nil {
+			s.relay.fleet.Apply(*l)
 		}
 	}
 	return s.relay.fleet.Listing(req.at(), req.AcrossTerms)
 }
 
 // leaderListing returns what a replica lacks of the leader's registry.
-func (s *Service) leaderListing(at fleet.Point, differences bool, v replica.View) *fleet.Listing {
+func (s *Service) leaderListing(at fleet.Position, differences bool, v replica.View) *fleet.Listing {
 	sameTerm := at.Term == v.Term
 	if sameTerm && at.Version == s.registry.Version() {
 		return nil
 	}
 	l := s.registry.Listing(sameTerm && differences, at.Version)
 	l.Term = v.Term
-	if !l.Difference {
+	if !l.Delta {
 		l.Withdrawals = v.Routing.Withdrawals
 	}
 	return l
--- a/daemon/control/relay.go
+++ b/daemon/control/relay.go
@@ -76,7 +76,7 @@
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	s.mu.Lock()
-	at := s.relay.fleet.At()
+	at := s.relay.fleet.Position()
 	s.mu.Unlock()
 	// The declaration comes with the log.
 	req := watchRequest{Hold: watchHold, Differences: true, Relays: true, Declaration: math.MaxUint64, Term: at.Term, Version: at.Version}
@@ -91,7 +91,7 @@
 	before := s.relay.inTouch(v)
 	s.relay.heard, s.relay.inForce = boottime.Now(), reply.InForce
 	if reply.Listing != nil {
-		s.relay.fleet.Take(*reply.Listing.Listing)
+		s.relay.fleet.Apply(*reply.Listing.Listing)
 	}
 	if reply.Listing != nil || !before {
 		s.wake()
--- a/daemon/control/watch.go
+++ b/daemon/control/watch.go
@@ -179,7 +179,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	at := w.mirror.At()
+	at := w.mirror.Position()
 	req := watchRequest{Hold: watchHold, Differences: true, AcrossTerms: true, Insists: w.failed, Term: at.Term, Version: at.Version}
 	if t := w.table.Load(); t != nil {
 		req.Declaration = t.Version()
@@ -204,7 +204,7 @@
 		}
 	}
 	if reply.Listing != nil {
-		w.mirror.Take(time.Now(), *reply.Listing.Listing)
+		w.mirror.Apply(time.Now(), *reply.Listing.Listing)
 	}
 }
 
--- a/daemon/control/wire.go
+++ b/daemon/control/wire.go
@@ -51,7 +51,7 @@
 }
 
 // at is the point that the asking instance stands at.
-func (r *watchRequest) at() fleet.Point { return fleet.Point{Term: r.Term, Version: r.Version} }
+func (r *watchRequest) at() fleet.Position { return fleet.Position{Term: r.Term, Version: r.Version} }
 
 // sharedListing is a listing that is encoded once for all who get it.
 type sharedListing struct {
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -144,7 +144,7 @@
 // no leader cost 7,600 messages for 200 of them within their 0.9 s.
 func TestDeparturesThatWaitForALeaderAskSeldom(t *testing.T) {
 	sent := messagesWithoutALeader(t, func(c ControlAPI, id string) error {
-		return c.Depart(context.Background(), fleet.Start{Name: id, Born: 1})
+		return c.Depart(context.Background(), fleet.Start{Name: id, StartedAt: 1})
 	})
 	if sent > 20*askingWithoutALeader {
 		t.Errorf("%d messages were sent", sent)
@@ -298,14 +298,14 @@
 	group := c.founders()
 	c.declare(group[0], 1)
 	start := func(born int64, sequence uint64) fleet.Server {
-		return fleet.Server{ID: fleet.StartID(fleet.Start{Name: "a", Born: born}), Name: "a", Born: born, Pool: "p", Address: "10.0.0.1:1", Sequence: sequence}
+		return fleet.Server{ID: fleet.StartID(fleet.Start{Name: "a", StartedAt: born}), Name: "a", StartedAt: born, Pool: "p", Address: "10.0.0.1:1", Sequence: sequence}
 	}
 	c.announce(group[1], start(100, 9))
 	c.announce(group[1], start(200, 1))
 	c.until("the new start is in every log", 5*time.Second, func() bool {
 		for _, m := range group {
 			v, _ := m.replica.View()
-			if len(v.Routing.Servers) != 1 || v.Routing.Servers[0].Born != 200 {
+			if len(v.Routing.Servers) != 1 || v.Routing.Servers[0].StartedAt != 200 {
 				return false
 			}
 		}
@@ -315,7 +315,7 @@
 	c.announce(left[0], start(100, 10))
 	got := c.watchFleet(left[0])
 	for range 5 {
-		if list := <-got; len(list) != 1 || list[0].Born != 200 {
+		if list := <-got; len(list) != 1 || list[0].StartedAt != 200 {
 			t.Fatalf("listed are %+v", list)
 		}
 	}
--- a/daemon/routed_pages.go
+++ b/daemon/routed_pages.go
@@ -68,7 +68,7 @@
 	for _, x := range state.Orders {
 		o := api.ServerOrder{Pool: x.Pool, Zone: x.Zone, Reclaimable: x.Reclaimable, Count: x.Count}
 		for _, s := range servers {
-			if s.Pool == x.Pool && s.Zone == x.Zone && s.Reclaimable == x.Reclaimable && s.TakesWork() {
+			if s.Pool == x.Pool && s.Zone == x.Zone && s.Reclaimable == x.Reclaimable && s.AcceptsWork() {
 				o.Seen++
 			}
 		}
--- a/daemon/router/attempts.go
+++ b/daemon/router/attempts.go
@@ -64,7 +64,7 @@
 			rest = rest[1:]
 		}
 		if len(rest) == 0 || rest[0].ID != s.ID {
-			born[s.OwnName()] = max(born[s.OwnName()], s.Born)
+			born[s.StableName()] = max(born[s.StableName()], s.StartedAt)
 		}
 	}
 	if len(born) == 0 {
@@ -72,7 +72,7 @@
 	}
 	var out []fleet.Server
 	for _, s := range before {
-		if s.Born < born[s.OwnName()] {
+		if s.StartedAt < born[s.StableName()] {
 			out = append(out, s)
 		}
 	}
--- a/daemon/router/attempts_test.go
+++ b/daemon/router/attempts_test.go
@@ -19,7 +19,7 @@
 	}
 	w := newWorld(t, mute)
 	t.Cleanup(func() { close(silent) }) // before the server is closed, which waits for it
-	w.fleet[0].Name, w.fleet[0].Born, w.fleet[0].ID = "s", 100, "s@100"
+	w.fleet[0].Name, w.fleet[0].StartedAt, w.fleet[0].ID = "s", 100, "s@100"
 	w.router.SetFleet(w.fleet)
 	spare := newWorld(t, good)
 	answered := make(chan reply, 1)
@@ -27,7 +27,7 @@
 	go func() { answered <- w.call("/safe/x") }()
 	<-arrived
 	again := spare.fleet[0]
-	again.Name, again.Born, again.ID = "s", 200, "s@200"
+	again.Name, again.StartedAt, again.ID = "s", 200, "s@200"
 	w.router.SetFleet([]fleet.Server{again})
 	got := <-answered
 	if got.status != http.StatusOK || got.body != "done" {
@@ -42,13 +42,13 @@
 func TestNewStartBeginsWithoutBeliefs(t *testing.T) {
 	w := newWorld(t, good)
 	former := w.fleet[0]
-	former.Name, former.Born, former.ID = "s", 100, "s@100"
+	former.Name, former.StartedAt, former.ID = "s", 100, "s@100"
 	w.router.SetFleet([]fleet.Server{former})
 	for range 5 {
 		w.router.bad(former.ID, true)
 	}
 	next := former
-	next.Born, next.ID = 200, "s@200"
+	next.StartedAt, next.ID = 200, "s@200"
 	w.router.SetFleet([]fleet.Server{next})
 	for _, b := range w.router.balancer.Beliefs(time.Now(), "p") {
 		if b.ID != next.ID || b.Failures != 0 || b.Load.Running != 0 {
--- a/daemon/router/request.go
+++ b/daemon/router/request.go
@@ -19,7 +19,7 @@
 func (c *call) request(s fleet.Server) *upstream.Request {
 	h := endToEnd(c.req.Header)
 	c.router.opt.Protocol.Strip(h)
-	stamp := upstream.Stamp{TimeLeft: time.Until(c.until), ServerName: s.OwnName(), After: c.said.After}
+	stamp := upstream.Stamp{TimeLeft: time.Until(c.until), ServerName: s.StableName(), After: c.said.After}
 	if c.customer != nil {
 		stamp.Customer = c.customer.Name
 	}
