--- a/core/balance/admit.go
+++ b/core/balance/admit.go
@@ -98,7 +98,7 @@
 	for _, s := range p.keepToHolders(now, r, c.keepToSide(usable(now, p.servers, nil))) {
 		l := s.load()
 		own := p.unreadAt(now, s, r, true)
-		first := p.stretch.of(portion(s.slowness, p.speed.time(float64(l.Unread)+own)))
+		first := p.stretch.of(portion(s.slowness, p.speed.time(float64(l.PendingPromptTokens)+own)))
 		first = max(first, s.slotWait(now, p, c, l))
 		if s.limit.Named {
 			first += s.limit.bucket.Until(now, rate(s))
@@ -128,5 +128,5 @@
 		most *= fullShare
 	}
 	return s.Slots > 0 && float64(l.Running) >= most || now.Before(s.fullUntil) ||
-		p.memory > 0 && float64(l.Memory+c.memory()) > memoryShare*float64(p.memory)
+		p.memory > 0 && float64(l.KVTokens+c.memory()) > memoryShare*float64(p.memory)
 }
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -260,7 +260,7 @@
 }
 
 // long reports whether the call is a long prompt.
-func (t *Ticket) long() bool { return t.load.Long > 0 }
+func (t *Ticket) long() bool { return t.load.LongPrompts > 0 }
 
 // Ahead is how many prompt tokens the server had to read up to the end of the
 // call's own, when the call was sent.
@@ -282,7 +282,7 @@
 	p := b.pool(s.Pool)
 	r := p.request(now, c)
 	unread := p.unreadAt(now, s, r, true)
-	t.load.Unread = int(unread)
+	t.load.PendingPromptTokens = int(unread)
 	if t.long() {
 		p.unshared = smooth(p.unshared, float64(c.Unshared), rereadWeight)
 	}
@@ -293,7 +293,7 @@
 	s.own.Add(t.load)
 	b.takeToken(now, s)
 	b.touch(s)
-	t.ahead = float64(s.load().Unread)
+	t.ahead = float64(s.load().PendingPromptTokens)
 	return t
 }
 
@@ -301,16 +301,16 @@
 func (b *Balancer) Began(now time.Time, t *Ticket) {
 	if s := b.servers[t.server]; s != nil {
 		p := b.pool(s.Pool)
-		s.own.Unread -= t.load.Unread
+		s.own.PendingPromptTokens -= t.load.PendingPromptTokens
 		b.touch(s)
-		if t.ahead <= float64(t.load.Unread) {
+		if t.ahead <= float64(t.load.PendingPromptTokens) {
 			p.speed.observe(float64(t.unshared), float64(t.tokens), now.Sub(t.sent))
 		}
 		if t.long() {
 			p.stretch.observe(portion(s.slowness, p.speed.time(t.ahead)), now.Sub(t.sent))
 		}
 	}
-	t.load.Unread = 0
+	t.load.PendingPromptTokens = 0
 }
 
 // End notes that a call is over at a server.
--- a/core/balance/call.go
+++ b/core/balance/call.go
@@ -120,12 +120,12 @@
 
 // load is what the call adds to its server.
 func (c *Call) load() Load {
-	l := Load{Running: 1, Unread: c.Unshared, Memory: c.memory()}
+	l := Load{Running: 1, PendingPromptTokens: c.Unshared, KVTokens: c.memory()}
 	if c.sensitive() {
-		l.Sensitive = 1
+		l.LatencySensitive = 1
 	}
 	if c.Tokens >= LongPrompt {
-		l.Long = 1
+		l.LongPrompts = 1
 	}
 	return l
 }
--- a/core/balance/loss.go
+++ b/core/balance/loss.go
@@ -61,7 +61,7 @@
 	if rank != 0 {
 		loss += rankStep * float64(max(rank, 1))
 	}
-	unread := float64(l.Unread) + own
+	unread := float64(l.PendingPromptTokens) + own
 	if rank == offSide {
 		loss += c.offSideLoss(l)
 	}
@@ -80,7 +80,7 @@
 func (c *Call) offSideLoss(l Load) float64 {
 	switch {
 	case c.Tokens >= LongPrompt:
-		return offSideHard + min(mostSensitive, sensitiveLoss*float64(l.Sensitive))
+		return offSideHard + min(mostSensitive, sensitiveLoss*float64(l.LatencySensitive))
 	case c.sensitive():
 		return offSideHard
 	}
--- a/core/balance/needs.go
+++ b/core/balance/needs.go
@@ -46,14 +46,14 @@
 		if e.long {
 			onLong.Add(e.load())
 		} else {
-			lingering += lingerShare * float64(e.load().Long)
+			lingering += lingerShare * float64(e.load().LongPrompts)
 		}
 	}
 	rates := b.rates(now, p, poolName)
 	shortReading := rates.Short / (p.speed.value() * shortDuty)
 	longReading := max(rates.Long/(p.speed.value()*longDuty), p.backlogNeed(onLong, p.sides.longTarget))
-	short = max(shortReading, slotNeed(float64(all.Running-all.Long)+lingering, shortSlots, slots))
-	long = max(longReading, min(slotNeed(float64(all.Long), longSlots, slots), mostPiled*longReading+1))
+	short = max(shortReading, slotNeed(float64(all.Running-all.LongPrompts)+lingering, shortSlots, slots))
+	long = max(longReading, min(slotNeed(float64(all.LongPrompts), longSlots, slots), mostPiled*longReading+1))
 	return short, long
 }
 
@@ -63,7 +63,7 @@
 	if target <= 0 {
 		return 0
 	}
-	return p.speed.time(float64(l.Unread)).Seconds() / (backlogShare * target.Seconds())
+	return p.speed.time(float64(l.PendingPromptTokens)).Seconds() / (backlogShare * target.Seconds())
 }
 
 // rates is what arrives for a pool at all instances.
--- a/core/balance/pace.go
+++ b/core/balance/pace.go
@@ -86,8 +86,8 @@
 
 // perEvent is an engine's pace as all instances know it; zero when unknown.
 func (b *Balancer) perEvent(s *server) time.Duration {
-	sum := s.ownRow().Pace
-	sum.Add(s.others.Pace)
+	sum := s.ownRow().EventInterval
+	sum.Add(s.others.EventInterval)
 	if sum.Instances == 0 {
 		return 0
 	}
--- a/core/balance/parts.go
+++ b/core/balance/parts.go
@@ -30,7 +30,7 @@
 )
 
 // partKey stands for a shared part.
-type partKey = counts.PartKey
+type partKey = counts.PrefixKey
 
 func keyOf(id string) partKey { return partKey(xxhash.Sum64String(id)) }
 
@@ -74,7 +74,7 @@
 		}
 		b.pool(s.Pool).noteHolder(x.key, s)
 		if s.parts.use(now, x.key) {
-			b.uses.add(now, nil, counts.Use{Server: s.ID, Part: x.key})
+			b.uses.add(now, nil, counts.Use{Server: s.ID, Prefix: x.key})
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	for _, s := range p.servers {
 		if s.long {
 			engines++
-			memory += s.load().Memory
+			memory += s.load().KVTokens
 		}
 	}
 	return engines, memory
--- a/core/balance/parts_test.go
+++ b/core/balance/parts_test.go
@@ -51,13 +51,13 @@
 	s, _ := b.Choose(now, "p", c, nil, middle)
 	first := b.Start(now, s.ID, c)
 	second := b.Start(now, s.ID, c)
-	if first.load.Unread != c.Tokens || second.load.Unread != c.Unshared {
-		t.Errorf("unread are %d and %d, want %d and %d", first.load.Unread, second.load.Unread, c.Tokens, c.Unshared)
+	if first.load.PendingPromptTokens != c.Tokens || second.load.PendingPromptTokens != c.Unshared {
+		t.Errorf("pending prompt tokens are %d and %d, want %d and %d", first.load.PendingPromptTokens, second.load.PendingPromptTokens, c.Tokens, c.Unshared)
 	}
 	b.SetFleet(append([]fleet.Server{{ID: s.ID + "@2", Name: s.ID, StartedAt: 2, Pool: "p", Slots: 64}}, list[:3]...))
 	again := b.Start(now, s.ID+"@2", c)
-	if again.load.Unread != c.Tokens {
-		t.Errorf("an engine that has started again is taken to keep the part: %d unread", again.load.Unread)
+	if again.load.PendingPromptTokens != c.Tokens {
+		t.Errorf("an engine that has started again is taken to keep the part: %d pending prompt tokens", again.load.PendingPromptTokens)
 	}
 }
 
@@ -68,7 +68,7 @@
 	b.Start(now, s.ID, c)
 	now = now.Add(2 * mostHeld)
 	b.Choose(now, "p", c, nil, middle)
-	if ticket := b.Start(now, s.ID, c); ticket.load.Unread != c.Tokens {
+	if ticket := b.Start(now, s.ID, c); ticket.load.PendingPromptTokens != c.Tokens {
 		t.Errorf("a part that was not used for %v counts as kept", 2*mostHeld)
 	}
 }
--- a/core/balance/peers.go
+++ b/core/balance/peers.go
@@ -13,7 +13,7 @@
 	out  counts.Sender
 	// made is when the exchange began, at when its counts last came; zero before.
 	made, at time.Time
-	kind     counts.Kind
+	kind     counts.MessageKind
 	level    uint8
 	// bySlot are its counts at the servers that this instance knows.
 	bySlot []counts.Row
@@ -34,7 +34,7 @@
 func (p *peer) fresh(now time.Time) bool { return !p.at.IsZero() && now.Sub(p.at) < peerTime }
 
 // member reports whether this instance answers the peer's counts.
-func (p *peer) member() bool { return p.kind == counts.FromMember && !p.at.IsZero() }
+func (p *peer) member() bool { return p.kind == counts.MemberReport && !p.at.IsZero() }
 
 // row is what the peer has at the server of a slot.
 func (p *peer) row(slot int) counts.Row {
@@ -73,22 +73,22 @@
 // Take takes a message of another instance.
 func (b *Balancer) Take(now time.Time, m *counts.Message) {
 	p := b.peer(now, m.Name)
-	p.out.Heard(m.Heard)
-	u, ok := p.in.Take(m)
+	p.out.Acknowledge(m.Acknowledged)
+	u, ok := p.in.Apply(m)
 	moved := ok && (p.at.IsZero() || p.kind != m.Kind || p.level != m.Level)
 	if ok {
-		p.at, p.kind, p.level, p.decides = now, m.Kind, m.Level, m.Decides
+		p.at, p.kind, p.level, p.decides = now, m.Kind, m.Level, m.DecidesBoundaries
 		p.age = time.Duration(m.AgeMillis) * time.Millisecond
 		p.rates = ratesOf(m.Rates)
 	}
-	if ok && p.kind == counts.Answer {
+	if ok && p.kind == counts.MemberReply {
 		b.leaveOthers(p)
 	}
 	b.takeRows(p, u, moved)
 	b.shareSpeeds()
 	b.takeUses(now, p, u.Uses)
 	b.takeLimits(now, p, u.Limits)
-	if u.Begun || u.Boundaries != nil {
+	if u.NewStream || u.Boundaries != nil {
 		p.boundaries = boundariesOf(u.Boundaries)
 	}
 	b.begin(now, p.boundaries)
@@ -97,11 +97,11 @@
 // takeRows takes what has changed at the servers; moved: the peer has another place
 // among the collectors than before.
 func (b *Balancer) takeRows(p *peer, u counts.Update, moved bool) {
-	if u.Begun || moved {
+	if u.NewStream || moved {
 		b.recount()
 		return
 	}
-	for _, number := range u.Changed {
+	for _, number := range u.ChangedRows {
 		b.takeRow(p, number)
 	}
 }
@@ -123,8 +123,8 @@
 		if s == nil {
 			continue
 		}
-		b.pool(s.Pool).noteHolder(use.Part, s)
-		if s.parts.use(now, use.Part) {
+		b.pool(s.Pool).noteHolder(use.Prefix, s)
+		if s.parts.use(now, use.Prefix) {
 			b.uses.add(now, from, use)
 		}
 	}
@@ -140,10 +140,10 @@
 	}
 }
 
-func ratesOf(list []counts.Rates) map[string]Rates {
+func ratesOf(list []counts.ArrivalRates) map[string]Rates {
 	out := make(map[string]Rates, len(list))
 	for _, x := range list {
-		out[x.Pool] = Rates{Long: float64(x.Long), Short: float64(x.Short), Reading: Reading{Sum: float64(x.ReadingSum), Calls: float64(x.ReadingCalls)}, Calls: float64(x.Calls)}
+		out[x.Pool] = Rates{Long: float64(x.LongTokens), Short: float64(x.ShortTokens), Reading: Reading{Sum: float64(x.PrefillSpeedSum), Calls: float64(x.PrefillSpeedCalls)}, Calls: float64(x.CallsPerSecond)}
 	}
 	return out
 }
--- a/core/balance/report.go
+++ b/core/balance/report.go
@@ -31,36 +31,36 @@
 // ReportTo returns the next message with this instance's counts, and those of the
 // members below it, for its collector.
 func (b *Balancer) ReportTo(now time.Time, collector string) counts.Message {
-	return b.message(now, b.peer(now, collector), counts.FromMember)
+	return b.message(now, b.peer(now, collector), counts.MemberReport)
 }
 
 // SumTo returns the next message with the same counts for another collector, and
 // the boundaries that this one goes by.
 func (b *Balancer) SumTo(now time.Time, peer string) counts.Message {
-	return b.message(now, b.peer(now, peer), counts.ToPeer)
+	return b.message(now, b.peer(now, peer), counts.CollectorReport)
 }
 
 // AnswerTo returns the next message with what everyone but the named member has,
 // and the boundaries that this instance goes by.
 func (b *Balancer) AnswerTo(now time.Time, member string) counts.Message {
-	return b.message(now, b.peer(now, member), counts.Answer)
+	return b.message(now, b.peer(now, member), counts.MemberReply)
 }
 
-func (b *Balancer) message(now time.Time, p *peer, kind counts.Kind) counts.Message {
+func (b *Balancer) message(now time.Time, p *peer, kind counts.MessageKind) counts.Message {
 	if b.since.IsZero() {
 		b.since = now
 	}
-	below := kind != counts.Answer
+	below := kind != counts.MemberReply
 	content := counts.Content{Now: now, Kind: kind, Rates: b.ratesFor(now, p, below)}
-	if kind != counts.FromMember {
-		content.Boundaries, content.Version = b.boundaries(now)
+	if kind != counts.MemberReport {
+		content.Boundaries, content.BoundariesVersion = b.boundaries(now)
 	}
 	content.Uses = b.uses.next(now, p, below, b.counted)
 	m := p.out.Next(&view{b, p, below}, content, b.firstStream)
 	m.Name, m.Level = b.name, b.level
-	m.Heard = p.in.Heard()
+	m.Acknowledged = p.in.Position()
 	m.AgeMillis = uint16(min(b.ageFor(now, p, below), mostAge).Milliseconds())
-	m.Decides = kind == counts.ToPeer && len(content.Boundaries) > 0 && b.decider(now) == nil
+	m.DecidesBoundaries = kind == counts.CollectorReport && len(content.Boundaries) > 0 && b.decider(now) == nil
 	return m
 }
 
@@ -118,29 +118,29 @@
 
 // touch notes that the counts at a server have changed.
 func (b *Balancer) touch(s *server) {
-	s.version = b.changes.Note(s.slot, len(b.slots))
+	s.version = b.changes.Record(s.slot, len(b.slots))
 }
 
 // ownRow is what this instance tells of a server.
 func (s *server) ownRow() counts.Row {
 	r := counts.Row{Load: s.own}
 	if s.pace.perEvent > 0 {
-		r.Pace = counts.Pace{Microseconds: uint32(s.pace.perEvent.Microseconds()), Instances: 1}
+		r.EventInterval = counts.EventInterval{Microseconds: uint32(s.pace.perEvent.Microseconds()), Instances: 1}
 	}
 	return r
 }
 
 // ratesFor sums what arrives here and at the others but the receiver; below: at the
 // members below only.
-func (b *Balancer) ratesFor(now time.Time, to *peer, below bool) []counts.Rates {
-	var out []counts.Rates
+func (b *Balancer) ratesFor(now time.Time, to *peer, below bool) []counts.ArrivalRates {
+	var out []counts.ArrivalRates
 	for name, p := range b.pools {
 		sum := b.ratesOf(now, p, name, func(x *peer) bool { return x != to && (!below || b.counted(x)) })
 		if p.memory == 0 && sum.Calls < leastCalls {
 			continue
 		}
-		out = append(out, counts.Rates{Pool: name, Long: float32(sum.Long), Short: float32(sum.Short),
-			ReadingSum: float32(sum.Reading.Sum), ReadingCalls: float32(sum.Reading.Calls), Calls: float32(sum.Calls)})
+		out = append(out, counts.ArrivalRates{Pool: name, LongTokens: float32(sum.Long), ShortTokens: float32(sum.Short),
+			PrefillSpeedSum: float32(sum.Reading.Sum), PrefillSpeedCalls: float32(sum.Reading.Calls), CallsPerSecond: float32(sum.Calls)})
 	}
 	return out
 }
--- a/core/balance/sides.go
+++ b/core/balance/sides.go
@@ -95,7 +95,7 @@
 	for name, p := range b.peers {
 		switch {
 		case p.member() || !p.fresh(now):
-		case p.kind == counts.Answer && len(p.boundaries) > 0:
+		case p.kind == counts.MemberReply && len(p.boundaries) > 0:
 			return p
 		case p.decides && name < first:
 			found, first = p, name
@@ -179,7 +179,7 @@
 		if others[i].slow != others[j].slow {
 			return others[i].slow
 		}
-		return others[i].load().Sensitive < others[j].load().Sensitive
+		return others[i].load().LatencySensitive < others[j].load().LatencySensitive
 	})
 }
 
@@ -191,7 +191,7 @@
 		if long[i].slow != long[j].slow {
 			return long[i].slow
 		}
-		return long[i].load().Unread > long[j].load().Unread
+		return long[i].load().PendingPromptTokens > long[j].load().PendingPromptTokens
 	})
 }
 
--- a/core/balance/uses.go
+++ b/core/balance/uses.go
@@ -57,7 +57,7 @@
 	to.usesTold = max(to.usesTold, l.first)
 	var out []counts.Use
 	for _, u := range l.list[to.usesTold-l.first:] {
-		if len(out) == counts.MostUses {
+		if len(out) == counts.MaxUses {
 			break
 		}
 		to.usesTold++
--- a/core/counts/message.go
+++ b/core/counts/message.go
@@ -1,19 +1,18 @@
-// Package counts carries load counts between two instances as changes.
+// Package counts transfers load counts between two instances as incremental changes.
 //
-// The load pattern it answers: hundreds of instances that each have to know what
-// all of them have placed at hundreds of engines. Whole tables that name each engine
-// took 4.3 KB and 0.35 ms of processor time a message at 117 engines: an instance
-// that answers 240 of them a second had its link full and spent half of its
-// processor on them. Here an engine is named once in a stream and is a number from
-// then on, only rows that have changed are told, and a message holds a bounded
-// number of them.
+// Each of hundreds of instances has to know how many calls all of them have placed at
+// hundreds of engines. Full tables that name each engine took 4.3 KB and 0.35 ms of
+// processor time a message at 117 engines: an instance that answered 240 of them a second
+// had its link saturated and spent half of its processor time on them. Here an engine is
+// named once in a stream and is a number from then on, only changed rows are sent, and a
+// message holds a bounded number of them.
 //
-// The messages that one instance sends another form a stream: they are numbered, and
-// each says which message of the other's stream came last. A receiver that missed
-// one says so, and the sender begins a new stream with everything. So a loss, a
-// restart or another receiver cost one message more, and nothing else.
+// The messages from one instance to another form a stream: they are numbered, and each
+// acknowledges the last message received of the opposite stream. A receiver that missed a
+// message reports so, and the sender begins a new stream with all rows. A loss, a restart
+// or a change of the receiver thus costs one additional message.
 //
-// The package is pure: what is to be told is passed in, messages are returned.
+// The package does no I/O: the counts to send are passed in, and messages are returned.
 package counts
 
 import (
@@ -22,159 +21,160 @@
 	"cardamomwick.example/core/ratelimit"
 )
 
-// Load is what runs at one server.
+// Load is the work in progress at one server.
 type Load struct {
-	// Running counts calls.
+	// Running is the number of calls.
 	Running int
-	// Unread counts prompt tokens of calls that have no answer yet.
-	Unread int
-	// Memory counts the tokens that running calls may fill.
-	Memory int
-	// Sensitive counts streams whose events must come in a short time.
-	Sensitive int
-	// Long counts long prompts.
-	Long int
+	// PendingPromptTokens are the prompt tokens of calls without any output yet.
+	PendingPromptTokens int
+	// KVTokens are the tokens that running calls may occupy in the KV cache.
+	KVTokens int
+	// LatencySensitive is the number of streams with a short target for the time between
+	// events.
+	LatencySensitive int
+	// LongPrompts is the number of calls with long prompts.
+	LongPrompts int
 }
 
 // Add adds another load.
 func (l *Load) Add(x Load) {
 	l.Running += x.Running
-	l.Unread += x.Unread
-	l.Memory += x.Memory
-	l.Sensitive += x.Sensitive
-	l.Long += x.Long
+	l.PendingPromptTokens += x.PendingPromptTokens
+	l.KVTokens += x.KVTokens
+	l.LatencySensitive += x.LatencySensitive
+	l.LongPrompts += x.LongPrompts
 }
 
 // Sub subtracts another load.
 func (l *Load) Sub(x Load) {
 	l.Running -= x.Running
-	l.Unread -= x.Unread
-	l.Memory -= x.Memory
-	l.Sensitive -= x.Sensitive
-	l.Long -= x.Long
+	l.PendingPromptTokens -= x.PendingPromptTokens
+	l.KVTokens -= x.KVTokens
+	l.LatencySensitive -= x.LatencySensitive
+	l.LongPrompts -= x.LongPrompts
 }
 
-// Pace is the sum of the times between two events that Instances have measured
-// at one engine.
-type Pace struct {
+// EventInterval aggregates the time between two events of a stream at one engine: the sum
+// of the values measured by a number of instances.
+type EventInterval struct {
 	Microseconds uint32
 	Instances    uint32
 }
 
-// Add adds the measurements of others.
-func (p *Pace) Add(x Pace) {
+// Add adds the measurements of other instances.
+func (p *EventInterval) Add(x EventInterval) {
 	p.Microseconds += x.Microseconds
 	p.Instances += x.Instances
 }
 
-// Row is what is told of one server.
+// Row holds the counts of one server.
 type Row struct {
-	Load Load
-	Pace Pace
+	Load          Load
+	EventInterval EventInterval
 }
 
 // Add adds another row.
 func (r *Row) Add(x Row) {
 	r.Load.Add(x.Load)
-	r.Pace.Add(x.Pace)
+	r.EventInterval.Add(x.EventInterval)
 }
 
-// Sub takes away a row that was added.
+// Sub subtracts a row that was added.
 func (r *Row) Sub(x Row) {
 	r.Load.Sub(x.Load)
-	r.Pace.Microseconds -= x.Pace.Microseconds
-	r.Pace.Instances -= x.Pace.Instances
+	r.EventInterval.Microseconds -= x.EventInterval.Microseconds
+	r.EventInterval.Instances -= x.EventInterval.Instances
 }
 
-// Limit is what a server said of its request rate, some time ago.
+// Limit is the request rate limit that a server announced, and how long ago.
 type Limit struct {
 	Server string
 	ratelimit.Limit
 	Age time.Duration
 }
 
-// PartKey stands for a shared part of prompts.
-type PartKey uint32
+// PrefixKey is the hash of a prompt part shared by several calls.
+type PrefixKey uint32
 
-// Use tells that a call with a shared part was given to a server.
+// Use records that a call with a shared prompt part was sent to a server.
 type Use struct {
 	Server string
-	Part   PartKey
+	Prefix PrefixKey
 }
 
-// Rates is the work that arrives for a pool, in prompt tokens per second.
-type Rates struct {
-	Pool  string  `msgpack:"p"`
-	Long  float32 `msgpack:"l"`
-	Short float32 `msgpack:"s"`
-	// ReadingSum and ReadingCalls are the sum of the reading speeds that were observed
-	// in so many calls.
-	ReadingSum   float32 `msgpack:"r"`
-	ReadingCalls float32 `msgpack:"c"`
-	// Calls is the calls a second.
-	Calls float32 `msgpack:"n,omitempty"`
+// ArrivalRates is the arriving work of a pool. LongTokens and ShortTokens are the prompt
+// tokens per second of long and short prompts.
+type ArrivalRates struct {
+	Pool        string  `msgpack:"p"`
+	LongTokens  float32 `msgpack:"l"`
+	ShortTokens float32 `msgpack:"s"`
+	// PrefillSpeedSum is the sum of the prefill speeds observed in PrefillSpeedCalls calls.
+	PrefillSpeedSum   float32 `msgpack:"r"`
+	PrefillSpeedCalls float32 `msgpack:"c"`
+	CallsPerSecond    float32 `msgpack:"n,omitempty"`
 }
 
-// Boundary is a decision on the sides of a pool.
+// Boundary is the division of a pool's engines between long and short prompts.
 type Boundary struct {
 	Pool string
-	// Share is the part of the engines that long prompts get, Engines are these.
+	// Share is the fraction of the engines for long prompts; Engines are these.
 	Share   float64
 	Engines []string
 }
 
-// wireBoundary names engines by their numbers in the stream.
+// wireBoundary is a Boundary that refers to engines by their numbers in the stream.
 type wireBoundary struct {
 	Pool    string   `msgpack:"p"`
 	Share   float64  `msgpack:"s"`
 	Engines []uint32 `msgpack:"e"`
 }
 
-// Position is a place in a stream.
+// Position identifies a message within a stream.
 type Position struct {
 	Stream   uint32 `msgpack:"s"`
 	Sequence uint32 `msgpack:"q"`
-	// Lost: the receiver has missed a message and waits for a new stream.
+	// Lost is set when the receiver has missed a message and waits for a new stream.
 	Lost bool `msgpack:"l,omitempty"`
 }
 
-// Kind tells what a message is to its receiver.
-type Kind uint8
+// MessageKind is the role of a message in the tree of collectors.
+type MessageKind uint8
 
-// The kinds.
+// Kinds of messages.
 const (
-	// FromMember holds the counts of an instance, and of those that report to it, for
-	// its collector.
-	FromMember Kind = iota
-	// ToPeer is the same for another collector.
-	ToPeer
-	// Answer holds all that a member does not know by itself.
-	Answer
+	// MemberReport holds the counts of an instance, and of those that report to it, for its
+	// collector.
+	MemberReport MessageKind = iota
+	// CollectorReport holds the same for another collector.
+	CollectorReport
+	// MemberReply holds the counts that a member does not have itself.
+	MemberReply
 )
 
-// Message is one piece of a stream.
+// Message is one message of a stream.
 type Message struct {
 	// Name is the sender's.
-	Name string `msgpack:"n"`
-	Kind Kind   `msgpack:"k"`
-	// Level is the sender's place in the tree of collectors; 0 reports to all others.
+	Name string      `msgpack:"n"`
+	Kind MessageKind `msgpack:"k"`
+	// Level is the sender's level in the tree of collectors.
 	Level uint8 `msgpack:"l,omitempty"`
-	// At is this message's place; Heard is what the sender has of the receiver's stream.
-	At    Position `msgpack:"a"`
-	Heard Position `msgpack:"h"`
-	// AgeMillis is how old the counts in the stream are, on average.
+	// Position is this message's; Acknowledged is the sender's position in the receiver's
+	// stream.
+	Position     Position `msgpack:"a"`
+	Acknowledged Position `msgpack:"h"`
+	// AgeMillis is the average age of the counts in the stream.
 	AgeMillis uint16 `msgpack:"g,omitempty"`
-	// Names are the servers that get the next numbers.
-	Names []string `msgpack:"i,omitempty"`
-	// Rows and Uses are packed; see pack.go.
+	// NewServers are the IDs that get the next numbers of the stream.
+	NewServers []string `msgpack:"i,omitempty"`
+	// Rows and Uses are in the encoding of pack.go.
 	Rows []byte `msgpack:"r,omitempty"`
 	Uses []byte `msgpack:"u,omitempty"`
-	// Rates is everything that arrives at those whose counts are told.
-	Rates []Rates `msgpack:"t,omitempty"`
-	// Decides: the sender moves the boundaries.
-	Decides bool `msgpack:"d,omitempty"`
-	// Boundaries are where the sender has each pool's sides, those that have changed.
+	// Rates are the arrival rates at the instances whose counts the stream carries.
+	Rates []ArrivalRates `msgpack:"t,omitempty"`
+	// DecidesBoundaries is set when the sender decides on the boundaries.
+	DecidesBoundaries bool `msgpack:"d,omitempty"`
+	// Boundaries are those of the sender that have changed.
 	Boundaries []wireBoundary `msgpack:"b,omitempty"`
-	// Limits are packed; see pack.go.
+	// Limits are in the encoding of pack.go.
 	Limits []byte `msgpack:"m,omitempty"`
 }
--- a/core/counts/pack.go
+++ b/core/counts/pack.go
@@ -8,99 +8,99 @@
 	"cardamomwick.example/core/ratelimit"
 )
 
-// tokenUnit is the unit of tokens on the wire: engines hand out memory in blocks of
-// 16, and half a million tokens take two bytes in units of 32.
+// tokenUnit is the unit of tokens on the wire: engines allocate memory in blocks of 16
+// tokens, and in units of 32 half a million tokens take two bytes.
 const tokenUnit = 32
 
-// rounded is a row as it comes out at the receiver.
+// rounded returns the row as the receiver decodes it.
 func (r Row) rounded() Row {
-	r.Load.Unread = tokenUnit * units(r.Load.Unread)
-	r.Load.Memory = tokenUnit * units(r.Load.Memory)
+	r.Load.PendingPromptTokens = tokenUnit * toTokenUnits(r.Load.PendingPromptTokens)
+	r.Load.KVTokens = tokenUnit * toTokenUnits(r.Load.KVTokens)
 	return r
 }
 
-func units(tokens int) int { return (max(0, tokens) + tokenUnit/2) / tokenUnit }
+func toTokenUnits(tokens int) int { return (max(0, tokens) + tokenUnit/2) / tokenUnit }
 
-// appendRow packs a row behind the number of its server: the number times two, plus
-// one where a pace follows, then the counts.
-func appendRow(out []byte, number uint32, r Row, withPace bool) []byte {
+// appendRow encodes a row after the number of its server: the number times two, plus one if
+// an event interval follows, then the counts.
+func appendRow(out []byte, number uint32, r Row, withInterval bool) []byte {
 	head := uint64(number) << 1
-	if withPace {
+	if withInterval {
 		head++
 	}
 	out = binary.AppendUvarint(out, head)
-	for _, n := range [...]int{r.Load.Running, units(r.Load.Unread), units(r.Load.Memory), r.Load.Sensitive, r.Load.Long} {
+	for _, n := range [...]int{r.Load.Running, toTokenUnits(r.Load.PendingPromptTokens), toTokenUnits(r.Load.KVTokens), r.Load.LatencySensitive, r.Load.LongPrompts} {
 		out = binary.AppendUvarint(out, uint64(max(0, n)))
 	}
-	if withPace {
-		out = binary.AppendUvarint(out, uint64(r.Pace.Microseconds))
-		out = binary.AppendUvarint(out, uint64(r.Pace.Instances))
+	if withInterval {
+		out = binary.AppendUvarint(out, uint64(r.EventInterval.Microseconds))
+		out = binary.AppendUvarint(out, uint64(r.EventInterval.Instances))
 	}
 	return out
 }
 
-// packed reads what appendRow and appendUse write.
-type packed struct {
-	data []byte
-	bad  bool
+// decoder decodes what appendRow, appendUse and appendLimit write.
+type decoder struct {
+	data   []byte
+	failed bool
 }
 
-// next reads a number up to most.
-func (p *packed) next(most uint64) uint64 {
-	v, n := binary.Uvarint(p.data)
-	if n <= 0 || v > most {
-		p.bad, p.data = true, nil
+// uvarint reads a number up to limit.
+func (d *decoder) uvarint(limit uint64) uint64 {
+	v, n := binary.Uvarint(d.data)
+	if n <= 0 || v > limit {
+		d.failed, d.data = true, nil
 		return 0
 	}
-	p.data = p.data[n:]
+	d.data = d.data[n:]
 	return v
 }
 
-// mostCount bounds one count: more than any engine can hold, and small enough for
-// sums over all instances.
-const mostCount = 1 << 30
+// maxCount bounds one count: more than any engine can hold, and small enough for sums over
+// all instances.
+const maxCount = 1 << 30
 
-// row reads one row; the pace is only set with withPace.
-func (p *packed) row() (number uint32, r Row, withPace bool) {
-	head := p.next(math.MaxUint32)
+// row reads one row; the event interval is set only with withInterval.
+func (d *decoder) row() (number uint32, r Row, withInterval bool) {
+	head := d.uvarint(math.MaxUint32)
 	l := &r.Load
-	l.Running = int(p.next(mostCount))
-	l.Unread = tokenUnit * int(p.next(mostCount))
-	l.Memory = tokenUnit * int(p.next(mostCount))
-	l.Sensitive = int(p.next(mostCount))
-	l.Long = int(p.next(mostCount))
-	if withPace = head&1 == 1; withPace {
-		r.Pace.Microseconds = uint32(p.next(math.MaxUint32))
-		r.Pace.Instances = uint32(p.next(mostCount))
+	l.Running = int(d.uvarint(maxCount))
+	l.PendingPromptTokens = tokenUnit * int(d.uvarint(maxCount))
+	l.KVTokens = tokenUnit * int(d.uvarint(maxCount))
+	l.LatencySensitive = int(d.uvarint(maxCount))
+	l.LongPrompts = int(d.uvarint(maxCount))
+	if withInterval = head&1 == 1; withInterval {
+		r.EventInterval.Microseconds = uint32(d.uvarint(math.MaxUint32))
+		r.EventInterval.Instances = uint32(d.uvarint(maxCount))
 	}
-	return uint32(head >> 1), r, withPace
+	return uint32(head >> 1), r, withInterval
 }
 
-func appendUse(out []byte, number uint32, part PartKey) []byte {
+func appendUse(out []byte, number uint32, prefix PrefixKey) []byte {
 	out = binary.AppendUvarint(out, uint64(number))
-	return binary.LittleEndian.AppendUint32(out, uint32(part))
+	return binary.LittleEndian.AppendUint32(out, uint32(prefix))
 }
 
-func (p *packed) use() (number uint32, part PartKey) {
-	number = uint32(p.next(math.MaxUint32))
+func (d *decoder) use() (number uint32, prefix PrefixKey) {
+	number = uint32(d.uvarint(math.MaxUint32))
 	const keyBytes = 4
-	if len(p.data) < keyBytes {
-		p.bad, p.data = true, nil
+	if len(d.data) < keyBytes {
+		d.failed, d.data = true, nil
 		return 0, 0
 	}
-	part = PartKey(binary.LittleEndian.Uint32(p.data))
-	p.data = p.data[keyBytes:]
-	return number, part
+	prefix = PrefixKey(binary.LittleEndian.Uint32(d.data))
+	d.data = d.data[keyBytes:]
+	return number, prefix
 }
 
 const (
 	// limitAgeUnit is the unit of a limit's age on the wire.
 	limitAgeUnit = time.Millisecond
-	// mostLimitAge bounds the age that is told.
-	mostLimitAge = time.Hour
+	// maxLimitAge bounds the age that is sent.
+	maxLimitAge = time.Hour
 )
 
-// appendLimit packs a limit behind the number of its server: 0 for none, or one more than
+// appendLimit encodes a limit after the number of its server: 0 for none, or one more than
 // the rate in its smallest parts, then its age.
 func appendLimit(out []byte, number uint32, l ratelimit.Limit, age time.Duration) []byte {
 	rate := uint64(0)
@@ -109,14 +109,14 @@
 	}
 	out = binary.AppendUvarint(out, uint64(number))
 	out = binary.AppendUvarint(out, rate)
-	return binary.AppendUvarint(out, uint64(min(max(0, age), mostLimitAge)/limitAgeUnit))
+	return binary.AppendUvarint(out, uint64(min(max(0, age), maxLimitAge)/limitAgeUnit))
 }
 
-func (p *packed) limit() (number uint32, l ratelimit.Limit, age time.Duration) {
-	number = uint32(p.next(math.MaxUint32))
-	if rate := p.next(math.MaxUint32); rate > 0 {
-		l, _ = ratelimit.Named(float64(rate-1) / ratelimit.PartsPerSecond) // a whole number is a rate
+func (d *decoder) limit() (number uint32, l ratelimit.Limit, age time.Duration) {
+	number = uint32(d.uvarint(math.MaxUint32))
+	if rate := d.uvarint(math.MaxUint32); rate > 0 {
+		l, _ = ratelimit.Named(float64(rate-1) / ratelimit.PartsPerSecond) // any non-negative rate is valid
 	}
-	age = time.Duration(p.next(uint64(mostLimitAge/limitAgeUnit))) * limitAgeUnit
+	age = time.Duration(d.uvarint(uint64(maxLimitAge/limitAgeUnit))) * limitAgeUnit
 	return number, l, age
 }
--- a/core/counts/receiver.go
+++ b/core/counts/receiver.go
@@ -1,122 +1,122 @@
 package counts
 
-// maxNames bounds the servers of one stream against a faulty sender: twice the
-// servers of the largest deployment aimed at.
-const maxNames = 8192
+// maxServers bounds the servers of one stream against a faulty sender: twice the servers of
+// the largest supported deployment.
+const maxServers = 8192
 
-// Receiver is the receiving end of streams from one sender. The zero value is
-// ready. Not safe for concurrent use.
+// Receiver is the receiving end of the streams from one sender. The zero value is ready for
+// use. Not safe for concurrent use.
 type Receiver struct {
-	at    Position
-	names []string
-	rows  []Row
+	position Position
+	ids      []string
+	rows     []Row
 }
 
-// Update is what a message has changed.
+// Update is the result of applying a message.
 type Update struct {
-	// Begun: it began a stream, and all rows told before are void.
-	Begun bool
-	// Changed are the numbers of the rows that the message holds; see Server.
-	Changed []int
-	Uses    []Use
-	Limits  []Limit
-	// Boundaries is nil when they have not changed.
+	// NewStream is set when the message began a stream, which invalidates all earlier rows.
+	NewStream bool
+	// ChangedRows are the numbers of the rows that the message holds; see Server.
+	ChangedRows []int
+	Uses        []Use
+	Limits      []Limit
+	// Boundaries is nil when the message holds none.
 	Boundaries []Boundary
 }
 
-// Heard is the receiver's word on what it has, for the sender.
-func (r *Receiver) Heard() Position { return r.at }
+// Position returns the position reached, for acknowledgement to the sender.
+func (r *Receiver) Position() Position { return r.position }
 
-// Servers returns how many servers the stream has named.
-func (r *Receiver) Servers() int { return len(r.names) }
+// Servers returns the number of servers in the stream.
+func (r *Receiver) Servers() int { return len(r.ids) }
 
-// Server returns the ID and the counts under a number of the stream.
-func (r *Receiver) Server(number int) (id string, row Row) { return r.names[number], r.rows[number] }
+// Server returns the ID and the counts of a server by its number in the stream.
+func (r *Receiver) Server(number int) (id string, row Row) { return r.ids[number], r.rows[number] }
 
-// Take takes a message; ok is false when it does not go on where the stream was, or
-// makes no sense, and changes nothing. A message that comes twice changes nothing
-// either.
-func (r *Receiver) Take(m *Message) (u Update, ok bool) {
+// Apply applies a message. ok is false for a duplicate, a message that does not continue
+// the stream and a malformed one; the update then holds at most NewStream. After the latter
+// two the receiver waits for a new stream.
+func (r *Receiver) Apply(m *Message) (u Update, ok bool) {
 	switch {
-	case m.At.Sequence == 1 && (m.At.Stream != r.at.Stream || r.at.Sequence == 0):
-		*r = Receiver{at: Position{Stream: m.At.Stream}}
-		u.Begun = true
-	case m.At.Stream == r.at.Stream && m.At.Sequence <= r.at.Sequence:
+	case m.Position.Sequence == 1 && (m.Position.Stream != r.position.Stream || r.position.Sequence == 0):
+		*r = Receiver{position: Position{Stream: m.Position.Stream}}
+		u.NewStream = true
+	case m.Position.Stream == r.position.Stream && m.Position.Sequence <= r.position.Sequence:
 		return u, false
-	case m.At.Stream != r.at.Stream || m.At.Sequence != r.at.Sequence+1 || r.at.Lost:
-		r.lose(m.At)
+	case m.Position.Stream != r.position.Stream || m.Position.Sequence != r.position.Sequence+1 || r.position.Lost:
+		r.markLost(m.Position)
 		return u, false
 	}
-	if !r.name(m.Names) || !r.takeRows(m.Rows, &u) || !r.takeUses(m.Uses, &u) || !r.takeLimits(m.Limits, &u) || !r.takeBoundaries(m.Boundaries, &u) {
-		r.lose(m.At)
-		return Update{Begun: u.Begun}, false
+	if !r.addServers(m.NewServers) || !r.applyRows(m.Rows, &u) || !r.applyUses(m.Uses, &u) || !r.applyLimits(m.Limits, &u) || !r.applyBoundaries(m.Boundaries, &u) {
+		r.markLost(m.Position)
+		return Update{NewStream: u.NewStream}, false
 	}
-	r.at.Sequence = m.At.Sequence
+	r.position.Sequence = m.Position.Sequence
 	return u, true
 }
 
-// lose waits for a new stream. What was told stays believed until then.
-func (r *Receiver) lose(at Position) {
-	r.at = Position{Stream: at.Stream, Sequence: at.Sequence, Lost: true}
+// markLost waits for a new stream. The rows received so far stay valid until then.
+func (r *Receiver) markLost(at Position) {
+	r.position = Position{Stream: at.Stream, Sequence: at.Sequence, Lost: true}
 }
 
-func (r *Receiver) name(names []string) bool {
-	if len(r.names)+len(names) > maxNames {
+func (r *Receiver) addServers(names []string) bool {
+	if len(r.ids)+len(names) > maxServers {
 		return false
 	}
-	r.names = append(r.names, names...)
+	r.ids = append(r.ids, names...)
 	r.rows = append(r.rows, make([]Row, len(names))...)
 	return true
 }
 
-func (r *Receiver) takeRows(data []byte, u *Update) bool {
-	p := packed{data: data}
-	for len(p.data) > 0 {
-		number, row, withPace := p.row()
-		if p.bad || int(number) >= len(r.rows) {
+func (r *Receiver) applyRows(data []byte, u *Update) bool {
+	d := decoder{data: data}
+	for len(d.data) > 0 {
+		number, row, withInterval := d.row()
+		if d.failed || int(number) >= len(r.rows) {
 			return false
 		}
-		if !withPace {
-			row.Pace = r.rows[number].Pace
+		if !withInterval {
+			row.EventInterval = r.rows[number].EventInterval
 		}
 		r.rows[number] = row
-		u.Changed = append(u.Changed, int(number))
+		u.ChangedRows = append(u.ChangedRows, int(number))
 	}
-	return !p.bad
+	return !d.failed
 }
 
-func (r *Receiver) takeUses(data []byte, u *Update) bool {
-	p := packed{data: data}
-	for len(p.data) > 0 {
-		number, part := p.use()
-		if p.bad || int(number) >= len(r.names) {
+func (r *Receiver) applyUses(data []byte, u *Update) bool {
+	d := decoder{data: data}
+	for len(d.data) > 0 {
+		number, prefix := d.use()
+		if d.failed || int(number) >= len(r.ids) {
 			return false
 		}
-		u.Uses = append(u.Uses, Use{r.names[number], part})
+		u.Uses = append(u.Uses, Use{r.ids[number], prefix})
 	}
-	return !p.bad
+	return !d.failed
 }
 
-func (r *Receiver) takeLimits(data []byte, u *Update) bool {
-	p := packed{data: data}
-	for len(p.data) > 0 {
-		number, limit, age := p.limit()
-		if p.bad || int(number) >= len(r.names) {
+func (r *Receiver) applyLimits(data []byte, u *Update) bool {
+	d := decoder{data: data}
+	for len(d.data) > 0 {
+		number, limit, age := d.limit()
+		if d.failed || int(number) >= len(r.ids) {
 			return false
 		}
-		u.Limits = append(u.Limits, Limit{r.names[number], limit, age})
+		u.Limits = append(u.Limits, Limit{r.ids[number], limit, age})
 	}
-	return !p.bad
+	return !d.failed
 }
 
-func (r *Receiver) takeBoundaries(list []wireBoundary, u *Update) bool {
+func (r *Receiver) applyBoundaries(list []wireBoundary, u *Update) bool {
 	for _, w := range list {
 		b := Boundary{Pool: w.Pool, Share: w.Share}
 		for _, number := range w.Engines {
-			if int(number) >= len(r.names) {
+			if int(number) >= len(r.ids) {
 				return false
 			}
-			b.Engines = append(b.Engines, r.names[number])
+			b.Engines = append(b.Engines, r.ids[number])
 		}
 		u.Boundaries = append(u.Boundaries, b)
 	}
--- a/core/counts/sender.go
+++ b/core/counts/sender.go
@@ -10,250 +10,254 @@
 
 // Bounds of a stream.
 const (
-	// mostRows bounds the rows of one message: 256 of 9 bytes are told in 0.1 ms and
-	// take 2 ms of a link of 10 Mbit/s. Where more have changed, the next messages go
-	// on behind the last one told, so that each row has its turn.
-	mostRows = 256
-	// MostUses bounds the uses of one message, for the same reason.
-	MostUses = 512
-	// mostUnheard is how many messages may be unconfirmed before a new stream begins.
-	// Confirmations come with the other's messages, one for each.
-	mostUnheard = 10
-	// spareNames is how many names of servers that are gone a stream may have beside
-	// those that are there, before a new one begins; in large fleets a part of those that
-	// are there, since more of them come and go, and a new stream tells of all.
-	spareNames      = 128
-	spareNamesShare = 0.25
-	// paceChange is the change of a pace, as a part of it, that is told.
-	paceChange = 1.0 / 32
+	// maxRows bounds the rows of one message: 256 rows of 9 bytes take 0.1 ms to encode and
+	// 2 ms of a link of 10 Mbit/s. If more have changed, the next messages continue after
+	// the last row sent, so that every row is sent in turn.
+	maxRows = 256
+	// MaxUses bounds the uses of one message, for the same reason.
+	MaxUses = 512
+	// maxUnacknowledged is the number of unacknowledged messages after which a new stream
+	// begins. Acknowledgements come with the messages in the other direction, one for each.
+	maxUnacknowledged = 10
+	// maxGoneServers is how many servers that no longer exist a stream may name beside
+	// those that do, before a new stream begins. In large fleets it is a fraction of the
+	// existing ones, since more servers come and go there, and a new stream sends all rows.
+	maxGoneServers = 128
+	maxGoneShare   = 0.25
+	// minIntervalChange is the relative change of an event interval from which on it is
+	// sent.
+	minIntervalChange = 1.0 / 32
 )
 
-// View is what is to be told: servers under slots that stay while they are there.
+// View is the source of the counts to send: servers in slots, which they keep while they
+// exist.
 type View interface {
-	// Slots is the number of slots; some may be empty.
+	// Slots returns the number of slots; some may be empty.
 	Slots() int
-	// Row returns the ID of a slot's server, "" for an empty one, and its counts.
+	// Row returns the ID of a slot's server, "" for an empty slot, and its counts.
 	Row(slot int) (id string, row Row)
-	// Limit returns what the slot's server said last of its request rate; Since is zero
-	// when there is nothing to tell.
+	// Limit returns the last announcement of the slot's server on its request rate; Since
+	// is zero when there is none to send.
 	Limit(slot int) ratelimit.Statement
 	// Version returns another number whenever Row or Limit return something else than
-	// before, so that a slot in which nothing has happened costs next to nothing.
+	// before, so that an unchanged slot costs next to nothing.
 	Version(slot int) uint64
-	// Changes has the slots for which Version has changed.
+	// Changes returns the log of the slots for which Version has changed.
 	Changes() *ChangeLog
 }
 
-// told is what the receiver has of one slot.
-type told struct {
+// sentSlot is what the receiver has been sent of one slot.
+type sentSlot struct {
 	id string
-	// number is the server's in the stream; numbered: it has one.
+	// number is the server's in the stream, if numbered is set.
 	number   uint32
 	numbered bool
 	row      Row
-	// version is that of the slot when it was last looked at.
+	// version is the slot's at the last look at it.
 	version uint64
-	// limitSince is that of the limit told last.
+	// limitSince is the Since of the limit sent last.
 	limitSince time.Time
 }
 
-// Sender is the sending end of streams to one receiver. The zero value is ready.
-// Not safe for concurrent use.
+// Sender is the sending end of the streams to one receiver. The zero value is ready for
+// use. Not safe for concurrent use.
 type Sender struct {
-	at      Position
-	heard   uint32
-	told    []told
-	numbers map[string]uint32
-	// looked is the number of the last change that was looked at.
-	looked uint64
-	// unseen is how many slots are left to look at before that holds, cursor the next
-	// of them.
-	unseen, cursor int
-	// boundaries is the version of those told.
-	boundaries uint64
-	named      []string
-	kind       Kind
+	position     Position
+	acknowledged uint32
+	sent         []sentSlot
+	numbers      map[string]uint32
+	// lastChange is the number of the last change in the view's log that was looked at.
+	lastChange uint64
+	// unscanned is the number of slots left to scan before lastChange is valid, cursor the
+	// next of them.
+	unscanned, cursor int
+	// boundariesVersion is the version of the boundaries sent last.
+	boundariesVersion uint64
+	newServers        []string
+	kind              MessageKind
 }
 
-// Heard takes the receiver's word on what it has.
-func (s *Sender) Heard(p Position) {
-	if p.Stream != s.at.Stream {
+// Acknowledge processes the receiver's position, and begins a new stream if it has lost
+// this one.
+func (s *Sender) Acknowledge(p Position) {
+	if p.Stream != s.position.Stream {
 		return
 	}
-	s.heard = max(s.heard, p.Sequence)
+	s.acknowledged = max(s.acknowledged, p.Sequence)
 	if p.Lost {
-		s.begin()
+		s.beginStream()
 	}
 }
 
-// unknown is the number of a change that no log keeps: all slots are to be looked at.
-const unknown = math.MaxUint64
+// unknownChange is a change number that no log holds: all slots have to be scanned.
+const unknownChange = math.MaxUint64
 
-// begin makes the next message the first one of a new stream.
-func (s *Sender) begin() {
-	s.at = Position{Stream: s.at.Stream + 1}
-	s.heard, s.looked, s.unseen, s.cursor, s.boundaries = 0, unknown, 0, 0, 0
-	s.told = s.told[:0]
+// beginStream makes the next message the first one of a new stream.
+func (s *Sender) beginStream() {
+	s.position = Position{Stream: s.position.Stream + 1}
+	s.acknowledged, s.lastChange, s.unscanned, s.cursor, s.boundariesVersion = 0, unknownChange, 0, 0, 0
+	s.sent = s.sent[:0]
 	s.numbers = map[string]uint32{}
 }
 
-// Content is what a message tells beside rows.
+// Content is what a message carries beside rows.
 type Content struct {
-	// Kind decides what the rows are; another one than before begins a new stream.
-	Kind  Kind
+	// Kind determines which counts the rows hold; a change begins a new stream.
+	Kind  MessageKind
 	Uses  []Use
-	Rates []Rates
-	// Boundaries are told when Version is not the one told last; 0 stands for none.
-	Boundaries []Boundary
-	Version    uint64
-	// Now is when the message is made.
+	Rates []ArrivalRates
+	// Boundaries are sent when BoundariesVersion is not the one sent last; 0 stands for
+	// none.
+	Boundaries        []Boundary
+	BoundariesVersion uint64
+	// Now is the time of the message.
 	Now time.Time
 }
 
-// Next returns the next message, with its place in the stream, rows and content. The
-// first stream has the number behind first, which must be another one for each start
-// of the sending instance: it must not go on in a stream of its former life.
+// Next returns the next message, with its position, rows and content. The first stream gets
+// the number after first, which must differ for each start of the sending instance so that
+// it does not continue a stream of the former process.
 func (s *Sender) Next(v View, c Content, first uint32) Message {
 	var m Message
 	switch {
 	case s.numbers == nil:
-		s.at.Stream = first
-		s.begin()
-	case c.Kind != s.kind, s.at.Sequence-s.heard >= mostUnheard, len(s.numbers) > mostNames(v.Slots()):
-		s.begin()
+		s.position.Stream = first
+		s.beginStream()
+	case c.Kind != s.kind, s.position.Sequence-s.acknowledged >= maxUnacknowledged, len(s.numbers) > maxNumbered(v.Slots()):
+		s.beginStream()
 	}
 	s.kind = c.Kind
-	s.at.Sequence++
-	m.At, m.Kind = s.at, c.Kind
-	s.named = nil
+	s.position.Sequence++
+	m.Position, m.Kind = s.position, c.Kind
+	s.newServers = nil
 	m.Rows, m.Limits = s.rows(v, c.Now)
-	for _, u := range c.Uses[:min(len(c.Uses), MostUses)] {
-		m.Uses = appendUse(m.Uses, s.number(u.Server), u.Part)
+	for _, u := range c.Uses[:min(len(c.Uses), MaxUses)] {
+		m.Uses = appendUse(m.Uses, s.number(u.Server), u.Prefix)
 	}
-	if c.Version != s.boundaries {
-		s.boundaries = c.Version
+	if c.BoundariesVersion != s.boundariesVersion {
+		s.boundariesVersion = c.BoundariesVersion
 		m.Boundaries = s.wireBoundaries(c.Boundaries)
 	}
-	m.Names, m.Rates = s.named, c.Rates
+	m.NewServers, m.Rates = s.newServers, c.Rates
 	return m
 }
 
-// mostNames is how many servers a stream of a view with so many slots may name.
-func mostNames(slots int) int {
-	return slots + max(spareNames, int(spareNamesShare*float64(slots)))
+// maxNumbered is how many servers a stream may name for a view with so many slots.
+func maxNumbered(slots int) int {
+	return slots + max(maxGoneServers, int(maxGoneShare*float64(slots)))
 }
 
-// rows packs the rows and limits that have changed, beginning behind the last one told.
+// rows encodes the changed rows and limits, starting after the last one sent.
 func (s *Sender) rows(v View, now time.Time) (rows, limits []byte) {
 	n := v.Slots()
-	if extra := n - len(s.told); extra > 0 {
-		s.told = append(s.told, make([]told, extra)...)
+	if extra := n - len(s.sent); extra > 0 {
+		s.sent = append(s.sent, make([]sentSlot, extra)...)
 	}
 	changes := v.Changes()
-	changed, kept := changes.After(s.looked)
-	if s.unseen == 0 && !kept {
-		s.unseen, s.looked = n, changes.End()
+	changed, kept := changes.After(s.lastChange)
+	if s.unscanned == 0 && !kept {
+		s.unscanned, s.lastChange = n, changes.Last()
 	}
-	p := packer{sender: s, view: v, now: now, left: mostRows}
-	for s.unseen > 0 && p.left > 0 {
-		p.slot(s.cursor)
+	e := encoder{sender: s, view: v, now: now, remaining: maxRows}
+	for s.unscanned > 0 && e.remaining > 0 {
+		e.slot(s.cursor)
 		s.cursor = (s.cursor + 1) % n
-		s.unseen--
+		s.unscanned--
 	}
-	if s.unseen > 0 {
-		return p.rows, p.limits
+	if s.unscanned > 0 {
+		return e.rows, e.limits
 	}
 	for _, slot := range changed {
-		if p.left == 0 {
+		if e.remaining == 0 {
 			break
 		}
-		p.slot(int(slot))
-		s.looked++
+		e.slot(int(slot))
+		s.lastChange++
 	}
-	return p.rows, p.limits
+	return e.rows, e.limits
 }
 
-// packer packs what has changed into one message.
-type packer struct {
+// encoder encodes the changes for one message.
+type encoder struct {
 	sender       *Sender
 	view         View
 	now          time.Time
 	rows, limits []byte
-	// left is how many rows and limits have room.
-	left int
+	// remaining is the number of rows and limits that still fit.
+	remaining int
 }
 
-// slot packs what has changed in a slot since it was last looked at.
-func (p *packer) slot(slot int) {
-	t := &p.sender.told[slot]
-	version := p.view.Version(slot)
+// slot encodes what has changed in a slot since the last look at it.
+func (e *encoder) slot(slot int) {
+	t := &e.sender.sent[slot]
+	version := e.view.Version(slot)
 	if version == t.version {
 		return
 	}
 	t.version = version
-	told := p.sender.row(&p.rows, p.view, slot, t) + p.sender.limit(&p.limits, p.view.Limit(slot), t, p.now)
-	p.left -= min(p.left, told)
+	sent := e.sender.row(&e.rows, e.view, slot, t) + e.sender.limit(&e.limits, e.view.Limit(slot), t, e.now)
+	e.remaining -= min(e.remaining, sent)
 }
 
-// limit packs what a slot's server said last, if that was not told, and returns the number
-// of limits.
-func (s *Sender) limit(out *[]byte, l ratelimit.Statement, t *told, now time.Time) int {
+// limit encodes the last announcement of a slot's server if that has not been sent, and
+// returns the number of limits.
+func (s *Sender) limit(out *[]byte, l ratelimit.Statement, t *sentSlot, now time.Time) int {
 	if t.id == "" || l.Since.IsZero() || l.Since.Equal(t.limitSince) {
 		return 0
 	}
 	t.limitSince = l.Since
-	s.name(t)
+	s.assignNumber(t)
 	*out = appendLimit(*out, t.number, l.Limit, now.Sub(l.Since))
 	return 1
 }
 
-// row packs what has changed in a slot and returns the number of rows.
-func (s *Sender) row(out *[]byte, v View, slot int, t *told) (rows int) {
+// row encodes what has changed in a slot and returns the number of rows.
+func (s *Sender) row(out *[]byte, v View, slot int, t *sentSlot) (rows int) {
 	id, row := v.Row(slot)
 	row = row.rounded()
 	if t.id != id {
-		if t.row.Load != (Load{}) { // another server had the slot
+		if t.row.Load != (Load{}) { // the slot belonged to another server
 			*out = appendRow(*out, t.number, Row{}, false)
 			rows++
 		}
-		*t = told{id: id, version: t.version}
+		*t = sentSlot{id: id, version: t.version}
 	}
-	withPace := row.Pace.differs(t.row.Pace)
-	if id == "" || row.Load == t.row.Load && !withPace {
+	withInterval := row.EventInterval.isWorthSending(t.row.EventInterval)
+	if id == "" || row.Load == t.row.Load && !withInterval {
 		return rows
 	}
-	s.name(t)
-	*out = appendRow(*out, t.number, row, withPace)
+	s.assignNumber(t)
+	*out = appendRow(*out, t.number, row, withInterval)
 	t.row.Load = row.Load
-	if withPace {
-		t.row.Pace = row.Pace
+	if withInterval {
+		t.row.EventInterval = row.EventInterval
 	}
 	return rows + 1
 }
 
-// differs reports whether a pace is worth telling to one who has the other.
-func (p Pace) differs(had Pace) bool {
+// isWorthSending reports whether an interval differs enough from the one the receiver has.
+func (p EventInterval) isWorthSending(had EventInterval) bool {
 	if p.Instances == 0 || had.Instances == 0 {
 		return p != had
 	}
 	mean, before := float64(p.Microseconds)/float64(p.Instances), float64(had.Microseconds)/float64(had.Instances)
-	return math.Abs(mean-before) > paceChange*before
+	return math.Abs(mean-before) > minIntervalChange*before
 }
 
-// name gives a slot's server its number in the stream.
-func (s *Sender) name(t *told) {
+// assignNumber sets the number of a slot's server in the stream.
+func (s *Sender) assignNumber(t *sentSlot) {
 	if !t.numbered {
 		t.number, t.numbered = s.number(t.id), true
 	}
 }
 
-// number returns a server's number in the stream, a new one at first.
+// number returns a server's number in the stream, and assigns one if it has none.
 func (s *Sender) number(id string) uint32 {
 	n, known := s.numbers[id]
 	if !known {
 		n = uint32(len(s.numbers))
 		s.numbers[id] = n
-		s.named = append(s.named, id)
+		s.newServers = append(s.newServers, id)
 	}
 	return n
 }
--- a/daemon/routed_metrics.go
+++ b/daemon/routed_metrics.go
@@ -86,7 +86,7 @@
 		for _, b := range list {
 			labels := fmt.Sprintf("{pool=%q,server=%q}", pool, b.ID)
 			fmt.Fprintf(w, "cardamomwick_server_running%s %d\n", labels, b.Load.Running)
-			fmt.Fprintf(w, "cardamomwick_server_unread_tokens%s %d\n", labels, b.Load.Unread)
+			fmt.Fprintf(w, "cardamomwick_server_unread_tokens%s %d\n", labels, b.Load.PendingPromptTokens)
 			fmt.Fprintf(w, "cardamomwick_server_failure_share%s %g\n", labels, b.Failures)
 			fmt.Fprintf(w, "cardamomwick_server_slowness%s %g\n", labels, b.Slowness)
 			fmt.Fprintf(w, "cardamomwick_server_long_prompts%s %g\n", labels, number(b.Long))
--- a/daemon/router/exchange.go
+++ b/daemon/router/exchange.go
@@ -124,7 +124,7 @@
 		return
 	}
 	now := time.Now()
-	if m.Kind == counts.Answer {
+	if m.Kind == counts.MemberReply {
 		x.mu.Lock()
 		x.reporter.Heard(now)
 		x.mu.Unlock()
@@ -139,7 +139,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.Take(now, m)
-	if m.Kind != counts.FromMember {
+	if m.Kind != counts.MemberReport {
 		return counts.Message{}, false
 	}
 	return r.balancer.AnswerTo(now, m.Name), true
