--- a/core/collect/collect.go
+++ b/core/collect/collect.go
@@ -1,18 +1,18 @@
-// Package collect decides which instances gather the load counts of the others.
+// Package collect plans which instances aggregate the load counts of the others.
 //
-// The load pattern it answers: every instance that places calls has to know what
-// all others have placed, within a few hundred milliseconds. If each told each,
-// the messages would grow with the square of the instances: 58 of them sent
-// 33,000 a second, most of them between availability zones, where bytes cost.
-// So a zone has a tree: members report to a group's collector, these to the zone's,
-// and each answers with what everyone else has; the zones' collectors tell each other
-// the sums of their zones. A zone of few members has no groups. Where instances are
-// few altogether, each tells all others: that is one step instead of three or five,
-// and as cheap.
+// Every instance that places calls has to know what all others have placed, within a few
+// hundred milliseconds. If each sent its counts to each, the number of messages would grow
+// with the square of the instances: 58 of them sent 33,000 a second, most of them between
+// availability zones, where traffic costs money. So each zone forms a tree: members report
+// to a group's collector, group collectors to the zone's collectors, and a collector
+// answers each report with the counts of everyone else; the collectors of the zones
+// exchange the sums of their zones. A zone with few members has no groups. A small number
+// of instances forms a full mesh: that is one hop instead of three or five, at the same
+// cost.
 //
-// Nothing has to be agreed upon: whoever gets reports answers them. Two instances
-// that plan by different views of the membership only count something twice, or
-// not at all, for a moment.
+// No agreement is needed: an instance that gets reports answers them. Two instances that
+// plan by different views of the membership only count something twice, or not at all, for
+// a moment.
 package collect
 
 import (
@@ -23,26 +23,27 @@
 
 // Limits of a plan.
 const (
-	// meshMembers is the number of instances up to which each tells all others:
-	// with 16, an instance sends as many messages as a collector of 58 in five
-	// zones does.
-	meshMembers = 16
-	// collectorsPerZone: the second one knows all sums too, so that it can take
-	// over at once.
+	// maxMeshMembers is the number of instances up to which they form a full mesh: with 16,
+	// an instance sends as many messages as a collector does among 58 instances in five
+	// zones.
+	maxMeshMembers = 16
+	// collectorsPerZone provides a standby: the second collector holds all sums too, so
+	// that it can take over at once.
 	collectorsPerZone = 2
-	// groupMembers is the most that report to one collector: with their answers as
-	// many messages as the collectors of seven zones send each other.
-	groupMembers = 16
-	// period is the usual time between two reports. Bursts grow over some
-	// hundred milliseconds; a fifth of it brought no gain.
-	period = 100 * time.Millisecond
-	// periodMembers is the number of instances from which on the period grows with them,
-	// so that all together send no more messages: with more instances each one's own
-	// calls are a smaller part of what there is to tell.
-	periodMembers = 200
+	// maxGroupMembers is the number of members that report to one collector: with the
+	// answers to them this is as many messages as the collectors of seven zones send each
+	// other.
+	maxGroupMembers = 16
+	// basePeriod is the usual time between two reports. Bursts build up over some hundred
+	// milliseconds; a fifth of this period was no better.
+	basePeriod = 100 * time.Millisecond
+	// basePeriodMembers is the number of instances from which on the period grows with
+	// them, so that the total number of messages stays constant: with more instances the
+	// calls of each one are a smaller part of the total load.
+	basePeriodMembers = 200
 )
 
-// Levels of an instance in the tree. Counts go up from lower levels only.
+// Levels of an instance in the tree. Counts are sent up from lower levels only.
 const (
 	LevelMember uint8 = iota
 	LevelGroup
@@ -56,68 +57,67 @@
 	Address string
 }
 
-// Plan is what one instance does with its counts.
+// Plan determines to which instances one instance sends its counts.
 type Plan struct {
 	Level uint8
-	// Peers are told the counts of this instance and all below it.
+	// Peers are sent the counts of this instance and all below it.
 	Peers []Member
-	// Collectors are reported to: the first one, or the next when it is silent.
+	// Collectors take the reports: the first one, or the next when it does not answer.
 	Collectors []Member
 	// Period is the time between two reports.
 	Period time.Duration
 }
 
-// NewPlan returns the plan of the named instance among the members, which
-// include it or not.
+// NewPlan returns the plan of an instance. The members need not include it yet.
 func NewPlan(self Member, members []Member) Plan {
-	every := periodOf(len(members))
-	if len(members) <= meshMembers {
-		return Plan{Level: LevelZone, Peers: without(members, self.Name), Period: every}
+	period := reportPeriod(len(members))
+	if len(members) <= maxMeshMembers {
+		return Plan{Level: LevelZone, Peers: without(members, self.Name), Period: period}
 	}
-	zones := byZone(members)
+	zones := groupByZone(members)
 	zone := zones[self.Zone]
-	at := slices.IndexFunc(zone, func(m Member) bool { return m.Name == self.Name })
-	if len(zone) == 0 || at >= 0 && at < collectorsPerZone {
-		return Plan{Level: LevelZone, Peers: otherCollectors(zones, self.Name), Period: every}
+	index := slices.IndexFunc(zone, func(m Member) bool { return m.Name == self.Name })
+	if len(zone) == 0 || index >= 0 && index < collectorsPerZone {
+		return Plan{Level: LevelZone, Peers: otherCollectors(zones, self.Name), Period: period}
 	}
-	heads := collectors(zone)
-	level, list := place(at-len(heads), zone[len(heads):], heads)
-	return Plan{Level: level, Collectors: list, Period: every}
+	collectors := zoneCollectors(zone)
+	level, list := placeBelowCollectors(index-len(collectors), zone[len(collectors):], collectors)
+	return Plan{Level: level, Collectors: list, Period: period}
 }
 
-// periodOf returns the time between two reports among so many instances.
-func periodOf(members int) time.Duration {
-	return max(period, period*time.Duration(members)/periodMembers)
+// reportPeriod returns the time between two reports for a number of instances.
+func reportPeriod(members int) time.Duration {
+	return max(basePeriod, basePeriod*time.Duration(members)/basePeriodMembers)
 }
 
-// place returns the level and the collectors of the member at an index of those
-// below the zone's collectors; the index is negative for one that is not listed yet.
-func place(at int, below, heads []Member) (uint8, []Member) {
-	if len(below) <= groupMembers {
-		return LevelMember, heads
+// placeBelowCollectors returns the level and the collectors of the member at an index of
+// those below the zone's collectors; the index is negative for one that is not listed yet.
+func placeBelowCollectors(index int, below, collectors []Member) (uint8, []Member) {
+	if len(below) <= maxGroupMembers {
+		return LevelMember, collectors
 	}
-	groups := (len(below) + groupMembers) / (groupMembers + 1)
-	if at >= 0 && at < groups {
-		return LevelGroup, heads
+	groups := (len(below) + maxGroupMembers) / (maxGroupMembers + 1)
+	if index >= 0 && index < groups {
+		return LevelGroup, collectors
 	}
-	own := max(0, at) % groups
+	own := max(0, index) % groups
 	list := append([]Member(nil), below[own:groups]...)
 	list = append(list, below[:own]...)
-	return LevelMember, append(list, heads...)
+	return LevelMember, append(list, collectors...)
 }
 
-// otherCollectors lists the collectors of all zones but the named one.
+// otherCollectors returns the collectors of all zones, except the named instance.
 func otherCollectors(zones map[string][]Member, self string) []Member {
 	var out []Member
 	for _, zone := range zones {
-		out = append(out, without(collectors(zone), self)...)
+		out = append(out, without(zoneCollectors(zone), self)...)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
-// byZone sorts the members of each zone by name.
-func byZone(members []Member) map[string][]Member {
+// groupByZone groups the members by zone, sorted by name.
+func groupByZone(members []Member) map[string][]Member {
 	zones := map[string][]Member{}
 	for _, m := range members {
 		zones[m.Zone] = append(zones[m.Zone], m)
@@ -128,8 +128,8 @@
 	return zones
 }
 
-// collectors returns those of a sorted zone, the first names.
-func collectors(zone []Member) []Member { return zone[:min(len(zone), collectorsPerZone)] }
+// zoneCollectors returns the collectors of a sorted zone: the first by name.
+func zoneCollectors(zone []Member) []Member { return zone[:min(len(zone), collectorsPerZone)] }
 
 func without(list []Member, name string) []Member {
 	var out []Member
@@ -141,31 +141,31 @@
 	return out
 }
 
-// silence is how long a collector may leave reports unanswered before the next
-// one is asked: a frozen instance is noticed by the membership only later.
-const silence = 350 * time.Millisecond
+// answerTimeout is how long a collector may leave reports unanswered before the next one is
+// used: the membership detects a frozen instance only later.
+const answerTimeout = 350 * time.Millisecond
 
-// Reporter picks the collector that an instance reports to. The zero value
-// starts with the first one. Not safe for concurrent use.
+// Reporter selects the collector that an instance reports to. The zero value starts with
+// the first one. Not safe for concurrent use.
 type Reporter struct {
-	turn  int
-	since time.Time
+	index      int
+	lastAnswer time.Time
 }
 
-// Heard notes an answer of a collector.
-func (r *Reporter) Heard(now time.Time) { r.since = now }
+// RecordAnswer records that the collector has answered.
+func (r *Reporter) RecordAnswer(now time.Time) { r.lastAnswer = now }
 
-// Pick returns the collector to report to now.
-func (r *Reporter) Pick(now time.Time, p Plan) (Member, bool) {
+// Pick returns the collector to report to; ok is false if the plan has none.
+func (r *Reporter) Pick(now time.Time, p Plan) (collector Member, ok bool) {
 	if len(p.Collectors) == 0 {
 		return Member{}, false
 	}
-	if r.since.IsZero() {
-		r.since = now
+	if r.lastAnswer.IsZero() {
+		r.lastAnswer = now
 	}
-	if now.Sub(r.since) >= silence+p.Period {
-		r.turn++
-		r.since = now
+	if now.Sub(r.lastAnswer) >= answerTimeout+p.Period {
+		r.index++
+		r.lastAnswer = now
 	}
-	return p.Collectors[r.turn%len(p.Collectors)], true
+	return p.Collectors[r.index%len(p.Collectors)], true
 }
--- a/core/collect/collect_test.go
+++ b/core/collect/collect_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func members(zones, each int) []Member {
+func newMembers(zones, each int) []Member {
 	var out []Member
 	for z := range zones {
 		for i := range each {
@@ -17,20 +17,19 @@
 	return out
 }
 
-func TestFewInstancesTellEachOther(t *testing.T) {
-	list := members(3, 3)
+func TestFewInstancesFormAMesh(t *testing.T) {
+	list := newMembers(3, 3)
 	p := NewPlan(list[4], list)
 	if len(p.Collectors) != 0 || len(p.Peers) != 8 {
 		t.Errorf("got %+v", p)
 	}
 }
 
-// What all send together must grow with the instances, not with their square, and no
-// instance may have more than a few hundred messages a second: at 376 instances in
-// seven zones as at 30.
+// The total number of messages must grow linearly with the instances, and no instance may
+// send more than a few hundred messages a second: at 376 instances in seven zones as at 30.
 func TestMessagesGrowWithTheInstances(t *testing.T) {
 	for _, size := range []struct{ zones, each int }{{5, 6}, {5, 12}, {5, 39}, {5, 76}, {7, 54}} {
-		list := members(size.zones, size.each)
+		list := newMembers(size.zones, size.each)
 		sent := map[string]float64{}
 		total := 0.0
 		for _, m := range list {
@@ -42,25 +41,25 @@
 				sent[p.Collectors[0].Name] += perSecond // the answer
 			}
 		}
-		most := 0.0
+		busiest := 0.0
 		for _, n := range sent {
 			total += n
-			most = max(most, n)
+			busiest = max(busiest, n)
 		}
-		t.Logf("%d instances: %.0f messages/s, %.0f/s at the busiest one", len(list), total, most)
+		t.Logf("%d instances: %.0f messages/s, %.0f/s at the busiest one", len(list), total, busiest)
 		if total > 45*float64(len(list)) {
 			t.Errorf("%d instances send %.0f messages/s", len(list), total)
 		}
-		if most > 300 {
-			t.Errorf("of %d instances one sends %.0f messages/s", len(list), most)
+		if busiest > 300 {
+			t.Errorf("of %d instances one sends %.0f messages/s", len(list), busiest)
 		}
 	}
 }
 
-// Whoever is reported to must be on a higher level than the one who reports, and take
-// part in what leads to all others. A silent first collector has a successor.
+// A collector must be on a higher level than the member that reports to it, so that the
+// counts reach all others. Every member has a second collector to switch to.
 func TestReportsGoUp(t *testing.T) {
-	list := members(5, 39)
+	list := newMembers(5, 39)
 	plans := map[string]Plan{}
 	for _, m := range list {
 		plans[m.Name] = NewPlan(m, list)
@@ -81,7 +80,7 @@
 		members[p.Collectors[0].Name]++
 	}
 	for name, n := range members {
-		if n > groupMembers {
+		if n > maxGroupMembers {
 			t.Errorf("%d report to %s", n, name)
 		}
 	}
@@ -92,8 +91,8 @@
 
 // Every zone's sum must reach every collector.
 func TestCollectorsReachEachOther(t *testing.T) {
-	list := members(5, 12)
-	told := map[string]int{}
+	list := newMembers(5, 12)
+	received := map[string]int{}
 	collectors := 0
 	for _, m := range list {
 		p := NewPlan(m, list)
@@ -102,42 +101,42 @@
 		}
 		collectors++
 		for _, peer := range p.Peers {
-			told[peer.Name]++
+			received[peer.Name]++
 		}
 	}
 	if collectors != 10 {
 		t.Fatalf("%d collectors in five zones", collectors)
 	}
-	for name, n := range told {
+	for name, n := range received {
 		if n != collectors-1 {
-			t.Errorf("%s hears of %d collectors", name, n)
+			t.Errorf("%s gets the sums of %d collectors", name, n)
 		}
 	}
 }
 
-// A collector that has frozen must not leave its zone without counts until the
-// membership has noticed.
-func TestSilentCollectorIsLeft(t *testing.T) {
-	list := members(5, 12)
+// A frozen collector must not leave its zone without counts until the membership detects
+// it.
+func TestSilentCollectorIsReplaced(t *testing.T) {
+	list := newMembers(5, 12)
 	p := NewPlan(list[11], list)
 	var r Reporter
 	now := time.Unix(0, 0)
 	first, _ := r.Pick(now, p)
-	r.Heard(now)
-	if again, _ := r.Pick(now.Add(silence), p); again != first {
-		t.Errorf("left %v, which has just answered", first)
+	r.RecordAnswer(now)
+	if again, _ := r.Pick(now.Add(answerTimeout), p); again != first {
+		t.Errorf("left collector %v, which has just answered", first)
 	}
-	second, _ := r.Pick(now.Add(silence+p.Period), p)
+	second, _ := r.Pick(now.Add(answerTimeout+p.Period), p)
 	if second == first {
-		t.Errorf("still with %v after its silence", first)
+		t.Errorf("still reporting to %v, which does not answer", first)
 	}
 }
 
-// Beyond some hundreds of instances the messages of all together stop growing; an instance
-// that has nothing to tell but its own few calls must not cost all others more.
-func TestMessagesOfAllStopGrowing(t *testing.T) {
+// Beyond some hundred instances the total number of messages stops growing: an instance
+// with few calls of its own must not increase the cost for all others.
+func TestTotalMessagesStopGrowing(t *testing.T) {
 	total := func(instances int) float64 {
-		list := members(5, instances/5)
+		list := newMembers(5, instances/5)
 		sum := 0.0
 		for _, m := range list {
 			p := NewPlan(m, list)
@@ -149,7 +148,7 @@
 	if at200, at375 := total(200), total(375); at375 > 1.05*at200 {
 		t.Errorf("%.0f messages a second of 375 instances, %.0f of 200", at375, at200)
 	}
-	if p := periodOf(191); p != period {
-		t.Errorf("191 instances report each %v", p)
+	if p := reportPeriod(191); p != basePeriod {
+		t.Errorf("191 instances report every %v", p)
 	}
 }
--- a/daemon/router/exchange.go
+++ b/daemon/router/exchange.go
@@ -126,7 +126,7 @@
 	now := time.Now()
 	if m.Kind == counts.MemberReply {
 		x.mu.Lock()
-		x.reporter.Heard(now)
+		x.reporter.RecordAnswer(now)
 		x.mu.Unlock()
 	}
 	if answer, asked := x.router.takeCounts(now, &m); asked {
