--- a/core/membership/fuzz_test.go
+++ b/core/membership/fuzz_test.go
@@ -9,8 +9,8 @@
 	"cardamomwick.example/core/wire"
 )
 
-// A gossip message of a faulty instance changes beliefs at most: this instance goes
-// on and knows itself.
+// A malformed gossip message must at most change the state of other instances: the table
+// keeps working and still lists its own instance.
 func FuzzMessage(f *testing.F) {
 	for _, m := range []Message{
 		{Updates: []Instance{{Name: "b", PeerAddress: "b:1", State: Suspect}, {Name: "a", State: Dead, Incarnation: 1 << 60}}},
@@ -38,6 +38,6 @@
 				return
 			}
 		}
-		t.Errorf("after %x the instance does not know itself", body)
+		t.Errorf("after %x the table does not list its own instance", body)
 	})
 }
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -1,8 +1,8 @@
-// Package membership decides which instances are alive. It follows the SWIM
-// protocol (Das, Gupta, Motivala): each period one member is probed, directly
-// and then through others; news travels on the probes. The load per instance
-// does not grow with the number of instances. It is pure: the clock and the
-// randomness are passed in, and messages are returned.
+// Package membership detects which instances are alive. It follows the SWIM protocol (Das,
+// Gupta, Motivala): each period one member is probed, directly and then through others, and
+// updates are piggybacked on the probes. The load per instance does not grow with the
+// number of instances. The package does no I/O: the clock and the randomness are passed in,
+// and messages are returned.
 package membership
 
 import (
@@ -18,69 +18,67 @@
 	directTimeout  = 150 * time.Millisecond
 	probeTimeout   = 400 * time.Millisecond
 	suspectTimeout = 1500 * time.Millisecond
-	forgetAfter    = 60 * time.Second
-	// syncPeriod is the time between two exchanges of whole tables while there
-	// are at most syncMembers members; it grows with them, so that the bytes per
-	// second stay level.
-	syncPeriod  = 5 * time.Second
-	syncMembers = 16
-	// seedPeriod is how often a seed that is believed lost is asked again.
-	seedPeriod      = 5 * time.Second
-	indirectProbes  = 3
-	updatesPerFrame = 8
-	// MaxMembers bounds what a peer may make us remember.
+	deadRetention  = 60 * time.Second
+	// syncPeriod is the time between two exchanges of full tables for up to syncBaseMembers
+	// members; it grows with their number, so that the bytes per second stay constant.
+	syncPeriod      = 5 * time.Second
+	syncBaseMembers = 16
+	// seedPeriod is how often a seed that is not listed as alive is contacted.
+	seedPeriod     = 5 * time.Second
+	indirectProbes = 3
+	maxUpdates     = 8
+	// MaxMembers bounds the memory that a faulty peer can use up.
 	MaxMembers = 4096
 )
 
-// State is what is believed of an instance.
+// State is the believed state of an instance.
 type State uint8
 
-// States of an instance, in the order in which equal incarnations override.
+// States of an instance. Among updates of equal incarnation the higher one wins.
 const (
 	Alive State = iota
 	Suspect
 	Dead
 )
 
-// Instance is one daemon of the system.
+// Instance is one running daemon of the system.
 type Instance struct {
-	// Name is unique and comes from the settings.
+	// Name is unique and set in the configuration.
 	Name string `msgpack:"n" json:"name"`
 	// Process changes with each start of the daemon.
 	Process string `msgpack:"r" json:"process"`
-	// Incarnation orders what is said about the instance. Only the instance
-	// itself raises it.
+	// Incarnation orders the updates about the instance. Only the instance itself increases
+	// it.
 	Incarnation uint64 `msgpack:"i" json:"incarnation"`
 	State       State  `msgpack:"s" json:"state"`
-	// PeerAddress takes frames, CallerAddress takes HTTP.
+	// PeerAddress accepts frames, CallerAddress HTTP.
 	PeerAddress   string `msgpack:"p" json:"peer_address"`
 	CallerAddress string `msgpack:"c" json:"caller_address"`
 	Zone          string `msgpack:"z" json:"availability_zone"`
-	// Draining: it finishes what runs and takes nothing new.
+	// Draining is set while the instance finishes its calls and accepts no new ones.
 	Draining bool `msgpack:"d" json:"draining"`
-	// Isolated: it has no fresh configuration lease.
+	// Isolated is set while the instance has no fresh configuration lease.
 	Isolated bool `msgpack:"o" json:"isolated"`
 }
 
-// Owner names one process of an instance; a restarted instance is another
-// owner.
+// Owner identifies one process of an instance; a restarted instance is another owner.
 func (i Instance) Owner() string { return i.Name + "/" + i.Process }
 
-// MessageType tells what a Message asks or answers.
+// MessageType is the type of a Message.
 type MessageType uint8
 
-// Kinds of messages.
+// Types of messages.
 const (
 	Ping MessageType = iota + 1
 	Ack
-	// PingRequest asks the receiver to probe Target for the sender.
+	// PingRequest asks the receiver to probe Target on behalf of the sender.
 	PingRequest
-	// Sync carries the whole table and asks for the receiver's.
+	// Sync carries the full table and requests the receiver's.
 	Sync
 	SyncReply
 )
 
-// Message is what instances exchange.
+// Message is a gossip message between two instances.
 type Message struct {
 	Type     MessageType `msgpack:"t"`
 	From     string      `msgpack:"f"` // the sender's peer address
@@ -89,18 +87,18 @@
 	Updates  []Instance  `msgpack:"u,omitempty"`
 }
 
-// Outgoing is a message to send to a peer address.
+// Outgoing is a message to be sent to a peer address.
 type Outgoing struct {
 	To      string
 	Message Message
 }
 
-type member struct {
+type memberEntry struct {
 	Instance
-	changed time.Time
+	changedAt time.Time
 }
 
-type update struct {
+type queuedUpdate struct {
 	name string
 	sent int
 }
@@ -109,61 +107,61 @@
 	name     string
 	started  time.Time
 	indirect bool
-	// relayFor is set when the probe was asked for by another instance.
-	relayFor string
-	relaySeq uint64
+	// requester is the peer address of the instance that asked for the probe, if any.
+	requester         string
+	requesterSequence uint64
 }
 
-// Table is one instance's view. Not safe for concurrent use.
+// Table is one instance's view of the membership. Not safe for concurrent use.
 type Table struct {
-	self     Instance
-	seeds    []string
-	intn     func(int) int
-	members  map[string]*member
-	queue    []update
-	probes   map[uint64]*probe
-	sequence uint64
-	order    []string
-	lastPing time.Time
-	lastSync time.Time
-	lastSeed time.Time
-	out      []Outgoing
-	// Version rises with every change of what Instances returns.
+	self       Instance
+	seeds      []string
+	intn       func(int) int
+	members    map[string]*memberEntry
+	updates    []queuedUpdate
+	probes     map[uint64]*probe
+	sequence   uint64
+	probeOrder []string
+	lastPing   time.Time
+	lastSync   time.Time
+	lastSeed   time.Time
+	outgoing   []Outgoing
+	// version increases whenever the result of Instances changes.
 	version uint64
 }
 
-// New returns a table that knows only its own instance. The incarnation starts
-// from the wall clock, so that a restart overrides what was said before.
+// New returns a table that holds only the instance itself. The incarnation starts from the
+// wall clock, so that a restart overrides earlier updates.
 func New(self Instance, seeds []string, now time.Time, intn func(int) int) *Table {
 	self.Incarnation = uint64(now.UnixMilli())
-	t := &Table{self: self, seeds: seeds, intn: intn, members: map[string]*member{}, probes: map[uint64]*probe{}}
-	t.members[self.Name] = &member{Instance: self, changed: now}
-	t.announce(self.Name)
+	t := &Table{self: self, seeds: seeds, intn: intn, members: map[string]*memberEntry{}, probes: map[uint64]*probe{}}
+	t.members[self.Name] = &memberEntry{Instance: self, changedAt: now}
+	t.enqueueUpdate(self.Name)
 	return t
 }
 
-// SetSelf changes the instance's own flags and spreads them.
-func (t *Table) SetSelf(now time.Time, draining, isolated bool) {
+// SetFlags sets the instance's own flags and disseminates them.
+func (t *Table) SetFlags(now time.Time, draining, isolated bool) {
 	if t.self.Draining == draining && t.self.Isolated == isolated {
 		return
 	}
 	t.self.Draining = draining
 	t.self.Isolated = isolated
-	t.raiseSelf(now, t.self.Incarnation)
+	t.raiseIncarnation(now, t.self.Incarnation)
 }
 
-func (t *Table) raiseSelf(now time.Time, above uint64) {
+func (t *Table) raiseIncarnation(now time.Time, above uint64) {
 	t.self.Incarnation = above + 1
-	t.members[t.self.Name] = &member{Instance: t.self, changed: now}
+	t.members[t.self.Name] = &memberEntry{Instance: t.self, changedAt: now}
 	t.version++
-	t.announce(t.self.Name)
+	t.enqueueUpdate(t.self.Name)
 }
 
-// Version rises whenever Instances may return something new.
+// Version increases whenever the result of Instances may have changed.
 func (t *Table) Version() uint64 { return t.version }
 
-// Instances lists the members that are not dead, sorted by name. Suspects are
-// included: they may only be slow.
+// Instances returns the members that are not dead, sorted by name. Suspects are included:
+// they may only be slow.
 func (t *Table) Instances() []Instance {
 	var out []Instance
 	for _, m := range t.members {
@@ -175,7 +173,8 @@
 	return out
 }
 
-// Tick probes, times out and syncs. Call it several times per ProbePeriod.
+// Tick runs the periodic work: probes, timeouts and syncs. Call it several times per
+// ProbePeriod.
 func (t *Table) Tick(now time.Time) []Outgoing {
 	t.checkProbes(now)
 	t.checkSuspects(now)
@@ -183,20 +182,20 @@
 		t.lastPing = now
 		t.probeNext(now)
 	}
-	if now.Sub(t.lastSync) >= t.syncEvery() {
+	if now.Sub(t.lastSync) >= t.syncInterval() {
 		t.lastSync = now
-		t.syncSomeone()
+		t.syncRandomPeer()
 	}
 	if now.Sub(t.lastSeed) >= seedPeriod {
 		t.lastSeed = now
 		t.syncLostSeed()
 	}
-	return t.take()
+	return t.takeOutgoing()
 }
 
-func (t *Table) take() []Outgoing {
-	out := t.out
-	t.out = nil
+func (t *Table) takeOutgoing() []Outgoing {
+	out := t.outgoing
+	t.outgoing = nil
 	return out
 }
 
@@ -205,20 +204,20 @@
 	if m.Type != Sync && m.Type != SyncReply {
 		m.Updates = t.piggyback()
 	}
-	t.out = append(t.out, Outgoing{to, m})
+	t.outgoing = append(t.outgoing, Outgoing{to, m})
 }
 
 // probeNext pings the next member of a shuffled round.
 func (t *Table) probeNext(now time.Time) {
 	for range len(t.members) + 1 {
-		if len(t.order) == 0 {
-			t.shuffle()
+		if len(t.probeOrder) == 0 {
+			t.shuffleProbeOrder()
 		}
-		if len(t.order) == 0 {
+		if len(t.probeOrder) == 0 {
 			return
 		}
-		name := t.order[0]
-		t.order = t.order[1:]
+		name := t.probeOrder[0]
+		t.probeOrder = t.probeOrder[1:]
 		if m := t.members[name]; m != nil && m.State != Dead && name != t.self.Name {
 			t.ping(now, m, probe{name: name})
 			return
@@ -226,20 +225,20 @@
 	}
 }
 
-func (t *Table) shuffle() {
+func (t *Table) shuffleProbeOrder() {
 	for name := range t.members {
 		if name != t.self.Name {
-			t.order = append(t.order, name)
+			t.probeOrder = append(t.probeOrder, name)
 		}
 	}
-	sort.Strings(t.order)
-	for i := len(t.order) - 1; i > 0; i-- {
+	sort.Strings(t.probeOrder)
+	for i := len(t.probeOrder) - 1; i > 0; i-- {
 		j := t.intn(i + 1)
-		t.order[i], t.order[j] = t.order[j], t.order[i]
+		t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i]
 	}
 }
 
-func (t *Table) ping(now time.Time, m *member, p probe) {
+func (t *Table) ping(now time.Time, m *memberEntry, p probe) {
 	t.sequence++
 	p.started = now
 	t.probes[t.sequence] = &p
@@ -252,17 +251,17 @@
 		switch {
 		case age >= probeTimeout:
 			delete(t.probes, seq)
-			if m := t.members[p.name]; m != nil && m.State == Alive && p.relayFor == "" {
-				t.believe(now, m, Suspect)
+			if m := t.members[p.name]; m != nil && m.State == Alive && p.requester == "" {
+				t.setState(now, m, Suspect)
 			}
-		case age >= directTimeout && !p.indirect && p.relayFor == "":
+		case age >= directTimeout && !p.indirect && p.requester == "":
 			p.indirect = true
-			t.askOthers(seq, p.name)
+			t.probeIndirectly(seq, p.name)
 		}
 	}
 }
 
-func (t *Table) askOthers(seq uint64, name string) {
+func (t *Table) probeIndirectly(seq uint64, name string) {
 	asked := 0
 	for _, i := range t.Instances() {
 		if i.Name == name || i.Name == t.self.Name || i.State != Alive {
@@ -278,30 +277,30 @@
 func (t *Table) checkSuspects(now time.Time) {
 	for name, m := range t.members {
 		switch {
-		case m.State == Suspect && now.Sub(m.changed) >= suspectTimeout:
-			t.believe(now, m, Dead)
-		case m.State == Dead && now.Sub(m.changed) >= forgetAfter:
+		case m.State == Suspect && now.Sub(m.changedAt) >= suspectTimeout:
+			t.setState(now, m, Dead)
+		case m.State == Dead && now.Sub(m.changedAt) >= deadRetention:
 			delete(t.members, name)
 		}
 	}
 }
 
-func (t *Table) believe(now time.Time, m *member, s State) {
+func (t *Table) setState(now time.Time, m *memberEntry, s State) {
 	m.State = s
-	m.changed = now
+	m.changedAt = now
 	t.version++
-	t.announce(m.Name)
+	t.enqueueUpdate(m.Name)
 }
 
-func (t *Table) syncEvery() time.Duration {
+func (t *Table) syncInterval() time.Duration {
 	if len(t.members) == 1 {
 		return ProbePeriod
 	}
-	return syncPeriod * time.Duration(max(syncMembers, len(t.members))) / syncMembers
+	return syncPeriod * time.Duration(max(syncBaseMembers, len(t.members))) / syncBaseMembers
 }
 
-// syncLostSeed asks a seed that is believed lost. After a partition in which
-// both sides have forgotten each other this brings them together.
+// syncLostSeed sends the table to a seed that is not listed as alive. After a partition in
+// which both sides have removed each other this merges them again.
 func (t *Table) syncLostSeed() {
 	alive := map[string]bool{}
 	for _, i := range t.Instances() {
@@ -314,13 +313,13 @@
 		}
 	}
 	if len(lost) > 0 {
-		t.send(lost[t.intn(len(lost))], Message{Type: Sync, Updates: t.all()})
+		t.send(lost[t.intn(len(lost))], Message{Type: Sync, Updates: t.allMembers()})
 	}
 }
 
-// syncSomeone exchanges whole tables with a seed or a member, which mends what
-// lost messages left out.
-func (t *Table) syncSomeone() {
+// syncRandomPeer exchanges full tables with a random seed or member, which repairs the
+// effects of lost messages.
+func (t *Table) syncRandomPeer() {
 	var targets []string
 	for _, s := range t.seeds {
 		if s != t.self.PeerAddress {
@@ -333,11 +332,11 @@
 		}
 	}
 	if len(targets) > 0 {
-		t.send(targets[t.intn(len(targets))], Message{Type: Sync, Updates: t.all()})
+		t.send(targets[t.intn(len(targets))], Message{Type: Sync, Updates: t.allMembers()})
 	}
 }
 
-func (t *Table) all() []Instance {
+func (t *Table) allMembers() []Instance {
 	out := make([]Instance, 0, len(t.members))
 	for _, m := range t.members {
 		out = append(out, m.Instance)
@@ -345,7 +344,7 @@
 	return out
 }
 
-// Handle takes one message.
+// Handle processes one message and returns the messages to send.
 func (t *Table) Handle(now time.Time, m Message) []Outgoing {
 	for _, u := range m.Updates {
 		t.merge(now, u)
@@ -357,12 +356,12 @@
 		t.handleAck(m)
 	case PingRequest:
 		if target := t.members[m.Target]; target != nil {
-			t.ping(now, target, probe{name: m.Target, relayFor: m.From, relaySeq: m.Sequence})
+			t.ping(now, target, probe{name: m.Target, requester: m.From, requesterSequence: m.Sequence})
 		}
 	case Sync:
-		t.send(m.From, Message{Type: SyncReply, Updates: t.all()})
+		t.send(m.From, Message{Type: SyncReply, Updates: t.allMembers()})
 	}
-	return t.take()
+	return t.takeOutgoing()
 }
 
 func (t *Table) handleAck(m Message) {
@@ -371,17 +370,18 @@
 		return
 	}
 	delete(t.probes, m.Sequence)
-	if p.relayFor != "" {
-		t.send(p.relayFor, Message{Type: Ack, Sequence: p.relaySeq})
+	if p.requester != "" {
+		t.send(p.requester, Message{Type: Ack, Sequence: p.requesterSequence})
 	}
 }
 
-// merge takes news about one instance. Higher incarnations win; within one,
-// the worse state wins. News against this instance itself is refuted.
+// merge applies an update about one instance. A higher incarnation wins; within one, the
+// worse state wins. An update that declares this instance itself suspect or dead is refuted
+// with a higher incarnation.
 func (t *Table) merge(now time.Time, u Instance) {
 	if u.Name == t.self.Name {
 		if u.Incarnation > t.self.Incarnation || (u.Incarnation == t.self.Incarnation && u.State != Alive) {
-			t.raiseSelf(now, u.Incarnation)
+			t.raiseIncarnation(now, u.Incarnation)
 		}
 		return
 	}
@@ -390,41 +390,41 @@
 		if u.State == Dead || len(t.members) >= MaxMembers {
 			return
 		}
-		t.adopt(now, u)
+		t.storeInstance(now, u)
 		return
 	}
 	if u.Incarnation < m.Incarnation || (u.Incarnation == m.Incarnation && u.State <= m.State) {
 		return
 	}
-	t.adopt(now, u)
+	t.storeInstance(now, u)
 }
 
-func (t *Table) adopt(now time.Time, u Instance) {
-	t.members[u.Name] = &member{Instance: u, changed: now}
+func (t *Table) storeInstance(now time.Time, u Instance) {
+	t.members[u.Name] = &memberEntry{Instance: u, changedAt: now}
 	t.version++
-	t.announce(u.Name)
+	t.enqueueUpdate(u.Name)
 }
 
-// announce queues an instance's state for piggybacking.
-func (t *Table) announce(name string) {
-	t.queue = slices.DeleteFunc(t.queue, func(u update) bool { return u.name == name })
-	t.queue = append([]update{{name: name}}, t.queue...)
+// enqueueUpdate queues an instance's state for piggybacking.
+func (t *Table) enqueueUpdate(name string) {
+	t.updates = slices.DeleteFunc(t.updates, func(u queuedUpdate) bool { return u.name == name })
+	t.updates = append([]queuedUpdate{{name: name}}, t.updates...)
 }
 
-// piggyback takes the least-sent updates; each goes out O(log n) times.
+// piggyback returns the updates sent least often; each is sent O(log n) times.
 func (t *Table) piggyback() []Instance {
 	limit := 3 * bits.Len(uint(len(t.members)+1))
-	sort.SliceStable(t.queue, func(i, j int) bool { return t.queue[i].sent < t.queue[j].sent })
+	sort.SliceStable(t.updates, func(i, j int) bool { return t.updates[i].sent < t.updates[j].sent })
 	var out []Instance
-	for i := range t.queue {
-		if len(out) == updatesPerFrame {
+	for i := range t.updates {
+		if len(out) == maxUpdates {
 			break
 		}
-		if m := t.members[t.queue[i].name]; m != nil {
+		if m := t.members[t.updates[i].name]; m != nil {
 			out = append(out, m.Instance)
 		}
-		t.queue[i].sent++
+		t.updates[i].sent++
 	}
-	t.queue = slices.DeleteFunc(t.queue, func(u update) bool { return u.sent >= limit })
+	t.updates = slices.DeleteFunc(t.updates, func(u queuedUpdate) bool { return u.sent >= limit })
 	return out
 }
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -8,88 +8,89 @@
 	"time"
 )
 
-// group runs tables on a fake clock with cut instances.
-type group struct {
-	now    time.Time
-	tables map[string]*Table
-	cut    map[string]bool
-	sent   int
+// simulation runs tables on a simulated clock; isolated instances neither send nor receive.
+type simulation struct {
+	now      time.Time
+	tables   map[string]*Table
+	isolated map[string]bool
+	sent     int
 }
 
-func newGroup(n int) *group {
-	g := &group{now: time.Unix(1_800_000_000, 0), tables: map[string]*Table{}, cut: map[string]bool{}}
+func newSimulation(n int) *simulation {
+	s := &simulation{now: time.Unix(1_800_000_000, 0), tables: map[string]*Table{}, isolated: map[string]bool{}}
 	rnd := rand.New(rand.NewSource(1))
 	for k := range n {
 		a := fmt.Sprintf("a%d", k)
-		g.tables[a] = New(Instance{Name: a, PeerAddress: a, Process: "p"}, []string{"a0", "a1"}, g.now, rnd.Intn)
+		s.tables[a] = New(Instance{Name: a, PeerAddress: a, Process: "p"}, []string{"a0", "a1"}, s.now, rnd.Intn)
 	}
-	return g
+	return s
 }
 
-func (g *group) run(d time.Duration) {
-	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(50 * time.Millisecond) {
-		for k := range len(g.tables) {
+func (s *simulation) run(d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(50 * time.Millisecond) {
+		for k := range len(s.tables) {
 			a := fmt.Sprintf("a%d", k)
-			g.deliver(a, g.tables[a].Tick(g.now))
+			s.deliver(a, s.tables[a].Tick(s.now))
 		}
 	}
 }
 
-func (g *group) deliver(from string, list []Outgoing) {
+func (s *simulation) deliver(from string, list []Outgoing) {
 	for _, o := range list {
-		g.sent++
-		if t := g.tables[o.To]; t != nil && !g.cut[from] && !g.cut[o.To] {
-			g.deliver(o.To, t.Handle(g.now, o.Message))
+		s.sent++
+		if t := s.tables[o.To]; t != nil && !s.isolated[from] && !s.isolated[o.To] {
+			s.deliver(o.To, t.Handle(s.now, o.Message))
 		}
 	}
 }
 
-func (g *group) seen(at string) int { return len(g.tables[at].Instances()) }
+func (s *simulation) memberCount(at string) int { return len(s.tables[at].Instances()) }
 
-func TestDetectsHealsAndRefutes(t *testing.T) {
-	g := newGroup(9)
-	g.run(8 * time.Second)
-	for a := range g.tables {
-		if g.seen(a) != 9 {
-			t.Fatalf("%s sees %d of 9", a, g.seen(a))
+func TestFailureIsDetectedAndRecoversAfterPartition(t *testing.T) {
+	s := newSimulation(9)
+	s.run(8 * time.Second)
+	for a := range s.tables {
+		if s.memberCount(a) != 9 {
+			t.Fatalf("%s sees %d of 9", a, s.memberCount(a))
 		}
 	}
-	g.cut["a4"] = true
-	start := g.now
-	for g.seen("a0") == 9 {
-		g.run(50 * time.Millisecond)
+	s.isolated["a4"] = true
+	start := s.now
+	for s.memberCount("a0") == 9 {
+		s.run(50 * time.Millisecond)
 	}
-	t.Logf("a lost instance was believed dead after %v", g.now.Sub(start))
-	if g.now.Sub(start) > 6*time.Second {
-		t.Fatal("too late")
+	t.Logf("a lost instance was declared dead after %v", s.now.Sub(start))
+	if s.now.Sub(start) > 6*time.Second {
+		t.Fatal("the lost instance was detected too late")
 	}
-	g.run(30 * time.Second)
-	g.cut["a4"] = false
-	g.run(20 * time.Second)
-	for a := range g.tables {
-		if g.seen(a) != 9 {
-			t.Fatalf("after healing %s sees %d of 9", a, g.seen(a))
+	s.run(30 * time.Second)
+	s.isolated["a4"] = false
+	s.run(20 * time.Second)
+	for a := range s.tables {
+		if s.memberCount(a) != 9 {
+			t.Fatalf("after healing %s sees %d of 9", a, s.memberCount(a))
 		}
 	}
 }
 
-// TestLevelLoad: messages per instance and second do not grow with the group.
-func TestLevelLoad(t *testing.T) {
+// The number of messages per instance and second must not grow with the number of
+// instances.
+func TestLoadPerInstanceIsConstant(t *testing.T) {
 	rate := func(n int) float64 {
-		g := newGroup(n)
-		g.run(20 * time.Second)
-		g.sent = 0
-		g.run(20 * time.Second)
-		return float64(g.sent) / 20 / float64(n)
+		s := newSimulation(n)
+		s.run(20 * time.Second)
+		s.sent = 0
+		s.run(20 * time.Second)
+		return float64(s.sent) / 20 / float64(n)
 	}
 	small, large := rate(9), rate(120)
 	t.Logf("messages per instance and second: %.1f with 9, %.1f with 120", small, large)
 	if large > 1.5*small {
-		t.Fatal("the load grows with the group")
+		t.Fatal("the load per instance grows with their number")
 	}
 }
 
-func TestRankMovesOnlyWhatWasLost(t *testing.T) {
+func TestRankMovesOnlyKeysOfLostInstance(t *testing.T) {
 	var list []Instance
 	for k := range 9 {
 		list = append(list, Instance{Name: fmt.Sprint("i", k)})
@@ -104,13 +105,13 @@
 	}
 }
 
-func TestFirstIsTheBeginningOfTheRanking(t *testing.T) {
+func TestTopTwoAreTheFirstOfTheRanking(t *testing.T) {
 	var list []Instance
 	for i := range 50 {
 		for k := range 20 {
 			key := fmt.Sprint("key ", k)
 			want := Rank(key, list)
-			got := First(key, list)
+			got := TopTwo(key, list)
 			if !slices.Equal(got, want[:min(2, len(want))]) {
 				t.Fatalf("of %d instances got %v, want %v", i, got, want[:min(2, len(want))])
 			}
--- a/core/membership/rendezvous.go
+++ b/core/membership/rendezvous.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// First returns the first instances of the ranking for a key, at most two. It is for
-// keys that are used once: nothing is sorted or kept.
-func First(key string, instances []Instance) []Instance {
+// TopTwo returns the first instances of the ranking for a key, at most two. It is for keys
+// that are used once: it neither sorts nor keeps anything.
+func TopTwo(key string, instances []Instance) []Instance {
 	best, second := -1, -1
 	var bestScore, secondScore uint64
 	for i := range instances {
@@ -33,15 +33,15 @@
 func score(key, name string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(key) // a hash takes everything
+	_, _ = d.WriteString(key) // hash writes never fail
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(name)
 	return d.Sum64()
 }
 
-// Rank orders instances by rendezvous hashing (highest random weight) for a
-// key: all who know the same instances agree on the first, and the loss of an
-// instance moves only what it held.
+// Rank orders instances for a key by rendezvous hashing (highest random weight): all that
+// know the same instances agree on the first one, and the loss of an instance moves only
+// the keys it held.
 func Rank(key string, instances []Instance) []Instance {
 	type scored struct {
 		score    uint64
--- a/daemon/control/home.go
+++ b/daemon/control/home.go
@@ -45,7 +45,7 @@
 
 // homeAmong returns the peer address of the first replica in the server's own ranking.
 func homeAmong(serverID string, replicas []membership.Instance) string {
-	first := membership.First(serverID, replicas)
+	first := membership.TopTwo(serverID, replicas)
 	if len(first) == 0 {
 		return ""
 	}
--- a/daemon/gossip/gossip.go
+++ b/daemon/gossip/gossip.go
@@ -131,7 +131,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
-	s.table.SetSelf(time.Now(), s.draining, s.isolated)
+	s.table.SetFlags(time.Now(), s.draining, s.isolated)
 	s.publish()
 }
 
--- a/daemon/quarantine/tell.go
+++ b/daemon/quarantine/tell.go
@@ -93,7 +93,7 @@
 		candidates = k.instances() // while entries start
 	}
 	var out []string
-	for _, i := range membership.First(string(request[:]), candidates) {
+	for _, i := range membership.TopTwo(string(request[:]), candidates) {
 		out = append(out, i.PeerAddress)
 	}
 	return out
