--- a/core/silence/silence.go
+++ b/core/silence/silence.go
@@ -1,120 +1,119 @@
-// Package silence decides when an open connection to a peer counts as dead.
+// Package silence detects open connections to a peer that no longer deliver anything.
 //
-// The load pattern it answers: something between two instances drops what a
-// connection carries, without a reset, while new connections work. Whoever sends
-// there goes on doing so for as long as there is something to send; each question
-// times out, and an instance that watches there keeps an old declaration.
+// A device between two instances may drop the packets of a connection without a reset,
+// while new connections work. The sender then keeps using that connection for as long as it
+// has something to send: each request times out, and an instance that watches over it keeps
+// an outdated declaration.
 //
-// A question may be answered late for good reasons: the peer holds it, its disk syncs,
-// a group has no leader. So the connection itself is asked, which a peer answers
-// without any work, and left only if that brings nothing.
+// A request may be answered late for good reasons: the peer holds it, its disk syncs, or a
+// group has no leader. So the peer is sent a probe, which it answers without any work, and
+// the connection is closed only if that is not answered.
 //
-// The package is pure: the clock is passed in.
+// The package does no I/O: the clock is passed in.
 package silence
 
 import "time"
 
-// Limits of a silence.
+// Timing of probes.
 const (
-	// AskAfter is how long after a question the peer is asked whether it is there. It
-	// is longer than an instance that watches is kept waiting, 450 ms, so that a peer
-	// which has no news is not asked in each round.
-	AskAfter = 600 * time.Millisecond
-	// AskAfterOneWay is the same after messages that have no answer. They repeat what
-	// was lost with the next one, and there are many more connections that carry only
-	// such.
-	AskAfterOneWay = 2 * time.Second
-	// AnswerWithin is how long the peer may take then. With AskAfter it leaves 0.8 s
-	// of the 2 s in which a declaration must be in force.
-	AnswerWithin = 600 * time.Millisecond
-	// mostDoublings bounds how much longer a peer may take whose connections were left
-	// one after the other: it has no time rather than no connection, and each new one
-	// costs it more.
-	mostDoublings = 4
+	// ProbeAfter is how long after an unanswered request the peer is probed. It is longer
+	// than the 450 ms for which a watch request is held, so that a peer without changes is
+	// not probed in each round.
+	ProbeAfter = 600 * time.Millisecond
+	// ProbeAfterOneWay is the same after messages that have no response. The next such
+	// message repeats what was lost, and many more connections carry only these.
+	ProbeAfterOneWay = 2 * time.Second
+	// ProbeTimeout is how long the peer may take to answer a probe. With ProbeAfter it
+	// leaves 0.8 s of the 2 s within which a declaration must be in force.
+	ProbeTimeout = 600 * time.Millisecond
+	// maxDoublings bounds the growth of the timeout after connections closed in a row: such
+	// a peer lacks processor time rather than a connection, and each new connection costs
+	// it more.
+	maxDoublings = 4
 )
 
-// Step is what to do about a connection.
-type Step int
+// Action is what to do about a connection.
+type Action int
 
-// The steps.
+// Actions.
 const (
-	// Nothing is due.
-	Nothing Step = iota
-	// Ask the peer whether it is there.
-	Ask
-	// Leave the connection.
-	Leave
+	// NoAction is needed.
+	NoAction Action = iota
+	// SendProbe asks the peer for a sign of life.
+	SendProbe
+	// CloseConnection gives up the connection.
+	CloseConnection
 )
 
-// Watch follows the connections to one peer, one after the other. The zero value has
-// sent nothing. Not safe for concurrent use.
-type Watch struct {
-	// question and sent are when the first question and the first message of any kind
-	// were sent that nothing has come back after; zero for none.
-	question, sent time.Time
-	// asked is when the peer was asked, zero for not yet.
-	asked time.Time
-	// left counts the connections that were left since anything came back.
-	left int
+// Monitor tracks the successive connections to one peer. In the zero value nothing has been
+// sent. Not safe for concurrent use.
+type Monitor struct {
+	// firstRequest and firstSent are when the first request and the first message of any
+	// kind were sent after which nothing has been received; zero for none.
+	firstRequest, firstSent time.Time
+	// probedAt is when the peer was probed, zero if it was not.
+	probedAt time.Time
+	// closed is the number of connections closed since anything was received.
+	closed int
 }
 
-// Connected notes a new connection: nothing was sent on it.
-func (w *Watch) Connected() { *w = Watch{left: w.left} }
+// Connected records a new connection, on which nothing has been sent.
+func (m *Monitor) Connected() { *m = Monitor{closed: m.closed} }
 
-// Sent notes a message, which may be a question.
-func (w *Watch) Sent(now time.Time, question bool) {
-	if w.sent.IsZero() {
-		w.sent = now
+// Sent records a message, which may be a request.
+func (m *Monitor) Sent(now time.Time, request bool) {
+	if m.firstSent.IsZero() {
+		m.firstSent = now
 	}
-	if question && w.question.IsZero() {
-		w.question = now
+	if request && m.firstRequest.IsZero() {
+		m.firstRequest = now
 	}
 }
 
-// Heard notes that something came back; waiting tells whether questions are left that
-// somebody waits for.
-func (w *Watch) Heard(now time.Time, waiting bool) {
-	*w = Watch{}
-	if waiting {
-		w.Sent(now, true)
+// Received records that something was received; pending tells whether requests are still
+// awaiting a response.
+func (m *Monitor) Received(now time.Time, pending bool) {
+	*m = Monitor{}
+	if pending {
+		m.Sent(now, true)
 	}
 }
 
-// Due returns what to do now, and how long to wait before it is asked for again; zero
-// for until something is sent.
-func (w *Watch) Due(now time.Time) (Step, time.Duration) {
-	if !w.asked.IsZero() {
-		return w.dueAsked(now)
+// NextAction returns what to do now, and the time until the next call; zero for until
+// something is sent.
+func (m *Monitor) NextAction(now time.Time) (Action, time.Duration) {
+	if !m.probedAt.IsZero() {
+		return m.actionAfterProbe(now)
 	}
-	at := w.askAt()
+	at := m.probeTime()
 	if at.IsZero() {
-		return Nothing, 0
+		return NoAction, 0
 	}
 	if wait := at.Sub(now); wait > 0 {
-		return Nothing, wait
+		return NoAction, wait
 	}
-	w.asked = now
-	return Ask, w.patience()
+	m.probedAt = now
+	return SendProbe, m.probeTimeout()
 }
 
-func (w *Watch) dueAsked(now time.Time) (Step, time.Duration) {
-	if wait := w.patience() - now.Sub(w.asked); wait > 0 {
-		return Nothing, wait
+func (m *Monitor) actionAfterProbe(now time.Time) (Action, time.Duration) {
+	if wait := m.probeTimeout() - now.Sub(m.probedAt); wait > 0 {
+		return NoAction, wait
 	}
-	w.left++
-	return Leave, 0
+	m.closed++
+	return CloseConnection, 0
 }
 
-// askAt is when the peer is to be asked, zero for never.
-func (w *Watch) askAt() time.Time {
-	if w.sent.IsZero() {
+// probeTime returns when to probe the peer, zero for never.
+func (m *Monitor) probeTime() time.Time {
+	if m.firstSent.IsZero() {
 		return time.Time{}
 	}
-	at := w.sent.Add(AskAfterOneWay)
-	if byQuestion := w.question.Add(AskAfter); !w.question.IsZero() && byQuestion.Before(at) {
-		return byQuestion
+	at := m.firstSent.Add(ProbeAfterOneWay)
+	if afterRequest := m.firstRequest.Add(ProbeAfter); !m.firstRequest.IsZero() && afterRequest.Before(at) {
+		return afterRequest
 	}
 	return at
 }
 
-func (w *Watch) patience() time.Duration { return AnswerWithin << min(w.left, mostDoublings) }
+func (m *Monitor) probeTimeout() time.Duration { return ProbeTimeout << min(m.closed, maxDoublings) }
--- a/core/silence/silence_test.go
+++ b/core/silence/silence_test.go
@@ -7,104 +7,106 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-// play is the traffic of a connection.
-type play struct {
-	w Watch
-	// every is the time between two messages, questions or not.
-	every    time.Duration
-	question bool
-	// answers is how long after a question it is answered; negative for never. Whether
-	// it is there, a peer that answers says within 0.1 s.
-	answers time.Duration
+// traffic simulates the messages on a connection.
+type traffic struct {
+	monitor Monitor
+	// interval is the time between two messages, all of which are requests if request is
+	// set.
+	interval time.Duration
+	request  bool
+	// answerDelay is how long a request takes to be answered; negative for never. A probe
+	// is answered within 0.1 s if requests are answered at all.
+	answerDelay time.Duration
 }
 
-// run returns how often the peer was asked whether it is there, and when the connection
-// was left, zero for never.
-func (p *play) run(span time.Duration) (asked int, left time.Duration) {
+// run returns how often the peer was probed, and when the connection was closed, zero for
+// never.
+func (t *traffic) run(span time.Duration) (probes int, closedAt time.Duration) {
 	const step = 10 * time.Millisecond
 	var answerAt, sentAt time.Duration
 	for at := time.Duration(0); at < span; at += step {
 		now := t0.Add(at)
-		if p.answers >= 0 && answerAt > 0 && at >= answerAt {
-			p.w.Heard(now, false)
+		if t.answerDelay >= 0 && answerAt > 0 && at >= answerAt {
+			t.monitor.Received(now, false)
 			answerAt = 0
 		}
 		if at >= sentAt {
-			sentAt = at + p.every
-			p.w.Sent(now, p.question)
-			if p.question && answerAt == 0 {
-				answerAt = at + p.answers
+			sentAt = at + t.interval
+			t.monitor.Sent(now, t.request)
+			if t.request && answerAt == 0 {
+				answerAt = at + t.answerDelay
 			}
 		}
-		switch s, _ := p.w.Due(now); s {
-		case Ask:
-			asked++
+		switch s, _ := t.monitor.NextAction(now); s {
+		case SendProbe:
+			probes++
 			if answerAt == 0 || answerAt > at+10*step {
-				answerAt = at + min(max(p.answers, step), 10*step)
+				answerAt = at + min(max(t.answerDelay, step), 10*step)
 			}
-		case Leave:
-			return asked, at
+		case CloseConnection:
+			return probes, at
 		}
 	}
-	return asked, 0
+	return probes, 0
 }
 
-func TestSilentConnectionIsLeftWithinTheTimeOfADeclaration(t *testing.T) {
-	p := play{every: 200 * time.Millisecond, question: true, answers: -1}
-	if _, left := p.run(30 * time.Second); left == 0 || left > 1300*time.Millisecond {
-		t.Errorf("left after %v", left)
+func TestSilentConnectionIsClosedBeforeADeclarationIsDue(t *testing.T) {
+	p := traffic{interval: 200 * time.Millisecond, request: true, answerDelay: -1}
+	if _, closedAt := p.run(30 * time.Second); closedAt == 0 || closedAt > 1300*time.Millisecond {
+		t.Errorf("closed after %v", closedAt)
 	}
-	p = play{every: 200 * time.Millisecond, answers: -1}
-	if _, left := p.run(30 * time.Second); left == 0 || left > 3*time.Second {
-		t.Errorf("with messages that have no answer: left after %v", left)
+	p = traffic{interval: 200 * time.Millisecond, answerDelay: -1}
+	if _, closedAt := p.run(30 * time.Second); closedAt == 0 || closedAt > 3*time.Second {
+		t.Errorf("with one-way messages: closed after %v", closedAt)
 	}
 }
 
-// A watch that has no news is answered when its hold is over; that peer is not asked.
-func TestHeldQuestionsAskNothing(t *testing.T) {
-	p := play{every: 470 * time.Millisecond, question: true, answers: 450 * time.Millisecond}
-	if asked, left := p.run(30 * time.Second); asked > 0 || left > 0 {
-		t.Errorf("asked %d times, left after %v", asked, left)
+// A watch request without changes is answered at the end of its hold time; its peer is not
+// probed.
+func TestHeldRequestsCauseNoProbe(t *testing.T) {
+	p := traffic{interval: 470 * time.Millisecond, request: true, answerDelay: 450 * time.Millisecond}
+	if probes, closedAt := p.run(30 * time.Second); probes > 0 || closedAt > 0 {
+		t.Errorf("%d probes, closed after %v", probes, closedAt)
 	}
 }
 
-// A peer that works on a question for seconds says at once that it is there.
-func TestSlowAnswerIsNoSilence(t *testing.T) {
-	p := play{every: 20 * time.Second, question: true, answers: 5 * time.Second}
-	if asked, left := p.run(30 * time.Second); asked == 0 || left > 0 {
-		t.Errorf("asked %d times, left after %v", asked, left)
+// A peer that works on a request for seconds answers the probe at once.
+func TestSlowAnswerKeepsTheConnection(t *testing.T) {
+	p := traffic{interval: 20 * time.Second, request: true, answerDelay: 5 * time.Second}
+	if probes, closedAt := p.run(30 * time.Second); probes == 0 || closedAt > 0 {
+		t.Errorf("%d probes, closed after %v", probes, closedAt)
 	}
 }
 
-func TestNothingSentNothingDue(t *testing.T) {
-	var w Watch
-	if s, wait := w.Due(t0); s != Nothing || wait != 0 {
+func TestNoActionWithoutMessages(t *testing.T) {
+	var monitor Monitor
+	if s, wait := monitor.NextAction(t0); s != NoAction || wait != 0 {
 		t.Errorf("%v in %v", s, wait)
 	}
-	w.Sent(t0, true)
-	w.Heard(t0.Add(time.Second), false)
-	if s, wait := w.Due(t0.Add(time.Hour)); s != Nothing || wait != 0 {
+	monitor.Sent(t0, true)
+	monitor.Received(t0.Add(time.Second), false)
+	if s, wait := monitor.NextAction(t0.Add(time.Hour)); s != NoAction || wait != 0 {
 		t.Errorf("after an answer: %v in %v", s, wait)
 	}
 }
 
-// A peer without any processor time for a minute answers nothing. Each new connection
-// costs it more; there must be few.
-func TestPeerWithoutTimeIsLeftSeldom(t *testing.T) {
-	var w Watch
-	left := 0
+// A peer without any processor time for a minute answers nothing. Each new connection costs
+// it more, so there must be few.
+func TestFewNewConnectionsToStarvedPeer(t *testing.T) {
+	var monitor Monitor
+	closed := 0
 	for at := time.Duration(0); at < time.Minute; at += 10 * time.Millisecond {
-		w.Sent(t0.Add(at), true)
-		if s, _ := w.Due(t0.Add(at)); s == Leave {
-			left++
-			w.Connected()
+		monitor.Sent(t0.Add(at), true)
+		if s, _ := monitor.NextAction(t0.Add(at)); s == CloseConnection {
+			closed++
+			monitor.Connected()
 		}
 	}
-	if left == 0 || left > 8 {
-		t.Errorf("%d connections were left in a minute", left)
+	if closed == 0 || closed > 8 {
+		t.Errorf("%d connections were closed in a minute", closed)
 	}
-	w.Heard(t0.Add(time.Minute), true)
-	if w.patience() != AnswerWithin {
-		t.Errorf("patience is %v after an answer", w.patience())
+	monitor.Received(t0.Add(time.Minute), true)
+	if monitor.probeTimeout() != ProbeTimeout {
+		t.Errorf("probe timeout is %v after an answer", monitor.probeTimeout())
 	}
 }
--- a/daemon/frame/link.go
+++ b/daemon/frame/link.go
@@ -38,7 +38,7 @@
 	// fail fast for a while.
 	failedAt time.Time
 	failures int
-	silence  silence.Watch
+	silence  silence.Monitor
 }
 
 func (l *link) close() { l.once.Do(func() { close(l.closing) }) }
@@ -152,9 +152,9 @@
 		for m = nil; m == nil; {
 			step, wait := l.due(idleAt)
 			switch step {
-			case silence.Leave:
+			case silence.CloseConnection:
 				return false
-			case silence.Ask:
+			case silence.SendProbe:
 				m = &Message{Kind: Request, Method: methodPresent}
 				continue
 			}
@@ -176,12 +176,12 @@
 
 // due returns what to do about a silence, and how long to wait for the next look;
 // nothing to wait for means that the connection is idle.
-func (l *link) due(idleAt time.Time) (silence.Step, time.Duration) {
+func (l *link) due(idleAt time.Time) (silence.Action, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	step, wait := l.silence.Due(now)
-	if step == silence.Leave {
+	step, wait := l.silence.NextAction(now)
+	if step == silence.CloseConnection {
 		l.t.Silent.Add(1)
 		log.WithFields(log.Fields{"step": "keep connection", "peer": l.address, "questions": len(l.pending)}).Warn("the connection brings no answers; a new one is made")
 	}
@@ -254,6 +254,6 @@
 	defer l.mu.Unlock()
 	p := l.pending[id]
 	delete(l.pending, id)
-	l.silence.Heard(time.Now(), len(l.pending) > 0)
+	l.silence.Received(time.Now(), len(l.pending) > 0)
 	return p
 }
