--- a/core/wire/wire_test.go
+++ b/core/wire/wire_test.go
@@ -19,7 +19,7 @@
 	Number []any             `msgpack:"u"`
 }
 
-func TestDecodeReadsWhatIsEncoded(t *testing.T) {
+func TestDecodeReadsEncodedValues(t *testing.T) {
 	for _, in := range []sample{
 		{},
 		{Text: strings.Repeat("x", 70_000), Bytes: bytes.Repeat([]byte{1}, 300), Names: make([]string, 70_000)},
@@ -35,22 +35,23 @@
 			t.Fatalf("%d bytes: %v", len(data), err)
 		}
 		if out.Text != in.Text || len(out.Names) != len(in.Names) || len(out.Table) != len(in.Table) || len(out.Number) != len(in.Number) {
-			t.Errorf("came back as %.200v", out)
+			t.Errorf("decoded as %.200v", out)
 		}
 	}
 }
 
-// A few bytes that claim two billion elements must not cost more than themselves.
-func TestDecodeRefusesWhatCanNotBe(t *testing.T) {
+// A message of a few bytes that claims two billion elements must be rejected without
+// allocating them.
+func TestDecodeRejectsMalformedMessages(t *testing.T) {
 	for name, data := range map[string]string{
 		"empty":            "",
 		"list":             "\x81\xa1n\xdd\xa1\x73\xcc\x01",
 		"map":              "\x81\xa1m\xdf\xff\xff\xff\xff",
 		"list in a list":   "\x92\xdc\x00\x02\x01",
-		"cut text":         "\x81\xa1t\xd9\x10abc",
-		"cut length":       "\x81\xa1t\xda\x10",
-		"cut number":       "\xcf\x00\x00",
-		"code never used":  "\x81\xa1t\xc1",
+		"truncated text":   "\x81\xa1t\xd9\x10abc",
+		"truncated length": "\x81\xa1t\xda\x10",
+		"truncated number": "\xcf\x00\x00",
+		"unused type code": "\x81\xa1t\xc1",
 		"extension, short": "\xc7\x05\x01ab",
 	} {
 		var out sample
@@ -60,7 +61,7 @@
 	}
 }
 
-// The look over a message never refuses what the codec can read.
+// Decoding must not panic or exhaust memory on any input.
 func FuzzDecode(f *testing.F) {
 	data, err := msgpack.Marshal(&sample{Text: "x", Names: []string{"a"}, Number: []any{1, -5, 2.5, nil}})
 	if err != nil {
