--- a/core/procstat/procstat.go
+++ b/core/procstat/procstat.go
@@ -1,5 +1,5 @@
-// Package procstat reads what a process has used from the proc file system, for the tools
-// that measure real processes. It is no part of the product.
+// Package procstat reads the resource usage of a process from the proc file system. It is
+// for measurement tools only and not part of the daemon.
 package procstat
 
 import (
@@ -12,27 +12,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// ticksPerSecond is the unit of processor time in /proc.
+// ticksPerSecond is the unit of CPU time in /proc.
 const ticksPerSecond = 100
 
-// Fields of a process's stat file, counted from the first one behind the name.
+// Fields of a process's stat file, counted from the first one after the name.
 const (
 	fieldUser     = 11
 	fieldSystem   = 12
 	fieldResident = 21
 )
 
-// Usage is what a process uses.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// Processor is the time used since the start.
-	Processor time.Duration
-	// Resident is memory in bytes.
-	Resident int64
-	// Descriptors is how many are open.
-	Descriptors int
+	// CPUTime is the user and system time since the process started.
+	CPUTime time.Duration
+	// ResidentBytes is the resident memory.
+	ResidentBytes int64
+	// OpenDescriptors is the number of open file descriptors.
+	OpenDescriptors int
 }
 
-// Read returns what a process uses; it fails once the process is gone.
+// Read returns the usage of a process; it fails once the process has ended.
 func Read(pid int) (Usage, error) {
 	folder := fmt.Sprintf("/proc/%d", pid)
 	stat, err := os.ReadFile(folder + "/stat")
@@ -48,14 +48,14 @@
 		return Usage{}, eris.Wrapf(err, "list descriptors of process %d", pid)
 	}
 	return Usage{
-		Processor:   time.Duration(ticks) * time.Second / ticksPerSecond,
-		Resident:    pages * int64(os.Getpagesize()),
-		Descriptors: len(open),
+		CPUTime:         time.Duration(ticks) * time.Second / ticksPerSecond,
+		ResidentBytes:   pages * int64(os.Getpagesize()),
+		OpenDescriptors: len(open),
 	}, nil
 }
 
-// parse reads a stat file. The name may have any characters, so that fields are counted
-// behind its last parenthesis.
+// parse reads a stat file. The process name may contain any characters, so that fields are
+// counted from its closing parenthesis, the last one in the file.
 func parse(stat string) (ticks, pages int64, err error) {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= fieldResident {
--- a/ctl/internal/capacity/main.go
+++ b/ctl/internal/capacity/main.go
@@ -272,7 +272,7 @@
 		if err != nil {
 			return nil, err
 		}
-		u := usage{at: time.Now(), cpu: used.Processor, resident: float64(used.Resident) / (1 << 20)}
+		u := usage{at: time.Now(), cpu: used.CPUTime, resident: float64(used.ResidentBytes) / (1 << 20)}
 		page, err := c.Metrics(i)
 		if err != nil {
 			return nil, err
