--- a/core/counts/message.go
+++ b/core/counts/message.go
@@ -62,9 +62,9 @@
 }
 
 // Add adds the measurements of other instances.
-func (p *EventInterval) Add(x EventInterval) {
-	p.Microseconds += x.Microseconds
-	p.Instances += x.Instances
+func (e *EventInterval) Add(x EventInterval) {
+	e.Microseconds += x.Microseconds
+	e.Instances += x.Instances
 }
 
 // Row holds the counts of one server.
--- a/core/counts/sender.go
+++ b/core/counts/sender.go
@@ -46,7 +46,7 @@
 	Changes() *ChangeLog
 }
 
-// sentSlot is what the receiver has been sent of one slot.
+// sentSlot is the state of one slot as sent to the receiver.
 type sentSlot struct {
 	id string
 	// number is the server's in the stream, if numbered is set.
@@ -236,11 +236,11 @@
 }
 
 // isWorthSending reports whether an interval differs enough from the one the receiver has.
-func (p EventInterval) isWorthSending(had EventInterval) bool {
-	if p.Instances == 0 || had.Instances == 0 {
-		return p != had
+func (e EventInterval) isWorthSending(sent EventInterval) bool {
+	if e.Instances == 0 || sent.Instances == 0 {
+		return e != sent
 	}
-	mean, before := float64(p.Microseconds)/float64(p.Instances), float64(had.Microseconds)/float64(had.Instances)
+	mean, before := float64(e.Microseconds)/float64(e.Instances), float64(sent.Microseconds)/float64(sent.Instances)
 	return math.Abs(mean-before) > minIntervalChange*before
 }
 
--- a/core/fleet/codec.go
+++ b/core/fleet/codec.go
@@ -19,9 +19,9 @@
 	requiredFields = 8
 )
 
-// EncodeMsgpack encodes the server as its struct tags describe. Listings hold
-// thousands of servers, and encoding them by reflection takes the leader so long that it
-// processes heartbeats late.
+// EncodeMsgpack encodes the server as its struct tags describe. Listings hold thousands of
+// servers, and encoding them by reflection takes the leader so long that it processes
+// heartbeats late.
 func (s Server) EncodeMsgpack(e *msgpack.Encoder) error {
 	fields := requiredFields
 	for _, present := range []bool{s.Name != "", s.StartedAt != 0, s.Reclaimable} {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -46,8 +46,8 @@
 	Phase   Phase  `msgpack:"h"`
 	// Sequence numbers the server's announcements.
 	Sequence uint64 `msgpack:"q"`
-	// Overdue is set after OverdueAfter without an announcement. The server may only be cut
-	// off from the instances that take announcements, and still serve.
+	// Overdue is set after OverdueAfter without an announcement. The server may merely be
+	// cut off from the instances that take announcements, and still serve.
 	Overdue bool `msgpack:"o"`
 	// Name is the server's own name, the same across restarts; empty if each start has an
 	// ID of its own.
--- a/core/silence/silence.go
+++ b/core/silence/silence.go
@@ -2,8 +2,8 @@
 //
 // A device between two instances may drop the packets of a connection without a reset,
 // while new connections work. The sender then keeps using that connection for as long as it
-// has something to send: each request times out, and an instance that watches over it keeps
-// an outdated declaration.
+// has something to send: each request times out, and an instance that watches for changes
+// over it keeps an outdated declaration.
 //
 // A request may be answered late for good reasons: the peer holds it, its disk syncs, or a
 // group has no leader. So the peer is sent a probe, which it answers without any work, and
