--- a/core/balance/admit.go
+++ b/core/balance/admit.go
@@ -102,7 +102,7 @@
 	for _, s := range p.filterHolders(now, r, c.filterBySide(usable(now, p.servers, nil))) {
 		l := s.load()
 		own := p.prefillTokens(now, s, r, true)
-		first := p.slowdown.apply(scaleDuration(s.slowness, p.speed.prefillTime(float64(l.Unread)+own)))
+		first := p.slowdown.apply(scaleDuration(s.slowness, p.speed.prefillTime(float64(l.PendingPromptTokens)+own)))
 		first = max(first, s.slotWait(now, p, c, l))
 		if s.limit.Named {
 			first += s.limit.bucket.Until(now, rate(s))
@@ -131,5 +131,5 @@
 		limit *= longPromptSlotFactor
 	}
 	return s.Slots > 0 && float64(l.Running) >= limit || now.Before(s.fullUntil) ||
-		p.memory > 0 && float64(l.Memory+c.memory()) > maxMemoryUse*float64(p.memory)
+		p.memory > 0 && float64(l.KVTokens+c.memory()) > maxMemoryUse*float64(p.memory)
 }
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -226,7 +226,7 @@
 
 // down reports whether the server is currently considered unavailable.
 func (s *server) down(now time.Time) bool {
-	return !s.TakesWork() || s.health.avoided(now)
+	return !s.AcceptsWork() || s.health.avoided(now)
 }
 
 // usable returns the healthy servers, or the announced but unhealthy ones if there are
@@ -267,7 +267,7 @@
 }
 
 // long reports whether the call is a long prompt.
-func (t *Ticket) long() bool { return t.load.Long > 0 }
+func (t *Ticket) long() bool { return t.load.LongPrompts > 0 }
 
 // Ahead returns the number of prompt tokens that the server had to process, up to and
 // including this call's prompt, when the call was sent.
@@ -289,7 +289,7 @@
 	p := b.pool(s.Pool)
 	r := p.request(now, c)
 	unread := p.prefillTokens(now, s, r, true)
-	t.load.Unread = int(unread)
+	t.load.PendingPromptTokens = int(unread)
 	if t.long() {
 		p.meanUnshared = ewma(p.meanUnshared, float64(c.Unshared), missShareWeight)
 	}
@@ -300,7 +300,7 @@
 	s.own.Add(t.load)
 	b.takeToken(now, s)
 	b.markChanged(s)
-	t.ahead = float64(s.load().Unread)
+	t.ahead = float64(s.load().PendingPromptTokens)
 	return t
 }
 
@@ -308,16 +308,16 @@
 func (b *Balancer) RecordFirstEvent(now time.Time, t *Ticket) {
 	if s := b.servers[t.server]; s != nil {
 		p := b.pool(s.Pool)
-		s.own.Unread -= t.load.Unread
+		s.own.PendingPromptTokens -= t.load.PendingPromptTokens
 		b.markChanged(s)
-		if t.ahead <= float64(t.load.Unread) {
+		if t.ahead <= float64(t.load.PendingPromptTokens) {
 			p.speed.observe(float64(t.unshared), float64(t.tokens), now.Sub(t.sent))
 		}
 		if t.long() {
 			p.slowdown.observe(scaleDuration(s.slowness, p.speed.prefillTime(t.ahead)), now.Sub(t.sent))
 		}
 	}
-	t.load.Unread = 0
+	t.load.PendingPromptTokens = 0
 }
 
 // End records that a call on a server is over.
--- a/core/balance/loss.go
+++ b/core/balance/loss.go
@@ -63,7 +63,7 @@
 	if rank != 0 {
 		loss += rankLoss * float64(max(rank, 1))
 	}
-	unread := float64(l.Unread) + own
+	unread := float64(l.PendingPromptTokens) + own
 	if rank == otherSide {
 		loss += c.crossingLoss(l)
 	}
@@ -82,7 +82,7 @@
 func (c *Call) crossingLoss(l Load) float64 {
 	switch {
 	case c.Tokens >= LongPromptTokens:
-		return crossLossSensitive + min(maxSensitiveLoss, sensitiveLoss*float64(l.Sensitive))
+		return crossLossSensitive + min(maxSensitiveLoss, sensitiveLoss*float64(l.LatencySensitive))
 	case c.sensitive():
 		return crossLossSensitive
 	}
--- a/core/balance/needs.go
+++ b/core/balance/needs.go
@@ -48,14 +48,14 @@
 		if e.long {
 			onLong.Add(e.load())
 		} else {
-			misplacedLong += misplacedLongWeight * float64(e.load().Long)
+			misplacedLong += misplacedLongWeight * float64(e.load().LongPrompts)
 		}
 	}
 	rates := b.rates(now, p, poolName)
 	shortPrefill := rates.Short / (p.speed.value() * maxShortPrefill)
 	longPrefill := max(rates.Long/(p.speed.value()*maxLongPrefill), p.backlogNeed(onLong, p.sides.meanLongTarget))
-	short = max(shortPrefill, slotNeed(float64(all.Running-all.Long)+misplacedLong, maxShortSlotUse, slots))
-	long = max(longPrefill, min(slotNeed(float64(all.Long), maxLongSlotUse, slots), maxSlotNeedFactor*longPrefill+1))
+	short = max(shortPrefill, slotNeed(float64(all.Running-all.LongPrompts)+misplacedLong, maxShortSlotUse, slots))
+	long = max(longPrefill, min(slotNeed(float64(all.LongPrompts), maxLongSlotUse, slots), maxSlotNeedFactor*longPrefill+1))
 	return short, long
 }
 
@@ -64,7 +64,7 @@
 	if target <= 0 {
 		return 0
 	}
-	return p.speed.prefillTime(float64(l.Unread)).Seconds() / (backlogTargetShare * target.Seconds())
+	return p.speed.prefillTime(float64(l.PendingPromptTokens)).Seconds() / (backlogTargetShare * target.Seconds())
 }
 
 // rates returns the arrival rates of a pool over all instances.
--- a/core/balance/pace.go
+++ b/core/balance/pace.go
@@ -85,8 +85,8 @@
 
 // perEvent returns an engine's pace averaged over all instances; zero if unknown.
 func (b *Balancer) perEvent(s *server) time.Duration {
-	sum := s.ownRow().Pace
-	sum.Add(s.peerRow.Pace)
+	sum := s.ownRow().EventInterval
+	sum.Add(s.peerRow.EventInterval)
 	if sum.Instances == 0 {
 		return 0
 	}
--- a/core/balance/parts.go
+++ b/core/balance/parts.go
@@ -30,7 +30,7 @@
 )
 
 // partKey is the hash of a shared part's ID.
-type partKey = counts.PartKey
+type partKey = counts.PrefixKey
 
 func keyOf(id string) partKey { return partKey(xxhash.Sum64String(id)) }
 
@@ -74,7 +74,7 @@
 		}
 		b.pool(s.Pool).recordHolder(x.key, s)
 		if s.parts.recordUse(now, x.key) {
-			b.uses.add(now, nil, counts.Use{Server: s.ID, Part: x.key})
+			b.uses.add(now, nil, counts.Use{Server: s.ID, Prefix: x.key})
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	for _, s := range p.servers {
 		if s.long {
 			engines++
-			memory += s.load().Memory
+			memory += s.load().KVTokens
 		}
 	}
 	return engines, memory
--- a/core/balance/parts_test.go
+++ b/core/balance/parts_test.go
@@ -52,13 +52,13 @@
 	s, _ := b.Choose(now, "p", c, nil, fixedRandom)
 	first := b.Start(now, s.ID, c)
 	second := b.Start(now, s.ID, c)
-	if first.load.Unread != c.Tokens || second.load.Unread != c.Unshared {
-		t.Errorf("unread tokens are %d and %d, want %d and %d", first.load.Unread, second.load.Unread, c.Tokens, c.Unshared)
+	if first.load.PendingPromptTokens != c.Tokens || second.load.PendingPromptTokens != c.Unshared {
+		t.Errorf("unread tokens are %d and %d, want %d and %d", first.load.PendingPromptTokens, second.load.PendingPromptTokens, c.Tokens, c.Unshared)
 	}
-	b.SetFleet(append([]fleet.Server{{ID: s.ID + "@2", Name: s.ID, Born: 2, Pool: "p", Slots: 64}}, list[:3]...))
+	b.SetFleet(append([]fleet.Server{{ID: s.ID + "@2", Name: s.ID, StartedAt: 2, Pool: "p", Slots: 64}}, list[:3]...))
 	again := b.Start(now, s.ID+"@2", c)
-	if again.load.Unread != c.Tokens {
-		t.Errorf("a restarted engine is assumed to have the part cached: %d unread", again.load.Unread)
+	if again.load.PendingPromptTokens != c.Tokens {
+		t.Errorf("a restarted engine is assumed to have the part cached: %d unread", again.load.PendingPromptTokens)
 	}
 }
 
@@ -69,7 +69,7 @@
 	b.Start(now, s.ID, c)
 	now = now.Add(2 * maxCacheLifetime)
 	b.Choose(now, "p", c, nil, fixedRandom)
-	if ticket := b.Start(now, s.ID, c); ticket.load.Unread != c.Tokens {
+	if ticket := b.Start(now, s.ID, c); ticket.load.PendingPromptTokens != c.Tokens {
 		t.Errorf("a part that was not used for %v counts as cached", 2*maxCacheLifetime)
 	}
 }
--- a/core/balance/peers.go
+++ b/core/balance/peers.go
@@ -14,7 +14,7 @@
 	// createdAt is when the exchange began; updatedAt is when the peer's counts were
 	// last received, or zero.
 	createdAt, updatedAt time.Time
-	kind                 counts.Kind
+	kind                 counts.MessageKind
 	level                uint8
 	// bySlot holds the peer's counts by slot, for servers known to this instance.
 	bySlot []counts.Row
@@ -37,7 +37,7 @@
 }
 
 // member reports whether the peer reports to this instance and receives its answers.
-func (p *peer) member() bool { return p.kind == counts.FromMember && !p.updatedAt.IsZero() }
+func (p *peer) member() bool { return p.kind == counts.MemberReport && !p.updatedAt.IsZero() }
 
 // row returns the peer's counts for the server in a slot.
 func (p *peer) row(slot int) counts.Row {
@@ -77,22 +77,22 @@
 // Receive processes a message of another instance.
 func (b *Balancer) Receive(now time.Time, m *counts.Message) {
 	p := b.peer(now, m.Name)
-	p.out.Heard(m.Heard)
-	u, ok := p.in.Take(m)
+	p.out.Acknowledge(m.Acknowledged)
+	u, ok := p.in.Apply(m)
 	moved := ok && (p.updatedAt.IsZero() || p.kind != m.Kind || p.level != m.Level)
 	if ok {
-		p.updatedAt, p.kind, p.level, p.decidesBoundaries = now, m.Kind, m.Level, m.Decides
+		p.updatedAt, p.kind, p.level, p.decidesBoundaries = now, m.Kind, m.Level, m.DecidesBoundaries
 		p.reportedAge = time.Duration(m.AgeMillis) * time.Millisecond
 		p.rates = ratesOf(m.Rates)
 	}
-	if ok && p.kind == counts.Answer {
+	if ok && p.kind == counts.MemberReply {
 		b.dropOtherSources(p)
 	}
 	b.applyRows(p, u, moved)
 	b.aggregateSpeeds()
 	b.applyUses(now, p, u.Uses)
 	b.mergeLimits(now, p, u.Limits)
-	if u.Begun || u.Boundaries != nil {
+	if u.NewStream || u.Boundaries != nil {
 		p.boundaries = boundariesOf(u.Boundaries)
 	}
 	b.adoptBoundaries(now, p.boundaries)
@@ -101,11 +101,11 @@
 // applyRows applies changed counts. moved is set if the peer's position among the
 // collectors has changed.
 func (b *Balancer) applyRows(p *peer, u counts.Update, moved bool) {
-	if u.Begun || moved {
+	if u.NewStream || moved {
 		b.recomputeSums()
 		return
 	}
-	for _, number := range u.Changed {
+	for _, number := range u.ChangedRows {
 		b.applyRow(p, number)
 	}
 }
@@ -128,8 +128,8 @@
 		if s == nil {
 			continue
 		}
-		b.pool(s.Pool).recordHolder(use.Part, s)
-		if s.parts.recordUse(now, use.Part) {
+		b.pool(s.Pool).recordHolder(use.Prefix, s)
+		if s.parts.recordUse(now, use.Prefix) {
 			b.uses.add(now, from, use)
 		}
 	}
@@ -146,10 +146,10 @@
 	}
 }
 
-func ratesOf(list []counts.Rates) map[string]Rates {
+func ratesOf(list []counts.ArrivalRates) map[string]Rates {
 	out := make(map[string]Rates, len(list))
 	for _, x := range list {
-		out[x.Pool] = Rates{Long: float64(x.Long), Short: float64(x.Short), Speed: SpeedSample{Sum: float64(x.ReadingSum), Calls: float64(x.ReadingCalls)}, Calls: float64(x.Calls)}
+		out[x.Pool] = Rates{Long: float64(x.LongTokens), Short: float64(x.ShortTokens), Speed: SpeedSample{Sum: float64(x.PrefillSpeedSum), Calls: float64(x.PrefillSpeedCalls)}, Calls: float64(x.CallsPerSecond)}
 	}
 	return out
 }
--- a/core/balance/report.go
+++ b/core/balance/report.go
@@ -32,36 +32,36 @@
 // ReportTo returns the next message to this instance's collector, with the counts of
 // this instance and of the members in its subtree.
 func (b *Balancer) ReportTo(now time.Time, collector string) counts.Message {
-	return b.message(now, b.peer(now, collector), counts.FromMember)
+	return b.message(now, b.peer(now, collector), counts.MemberReport)
 }
 
 // SumTo returns the next message to another collector, with the same counts and the
 // boundaries in use here.
 func (b *Balancer) SumTo(now time.Time, peer string) counts.Message {
-	return b.message(now, b.peer(now, peer), counts.ToPeer)
+	return b.message(now, b.peer(now, peer), counts.CollectorReport)
 }
 
 // AnswerTo returns the next message to a member, with the counts of all other
 // instances and the boundaries in use here.
 func (b *Balancer) AnswerTo(now time.Time, member string) counts.Message {
-	return b.message(now, b.peer(now, member), counts.Answer)
+	return b.message(now, b.peer(now, member), counts.MemberReply)
 }
 
-func (b *Balancer) message(now time.Time, p *peer, kind counts.Kind) counts.Message {
+func (b *Balancer) message(now time.Time, p *peer, kind counts.MessageKind) counts.Message {
 	if b.exchangeSince.IsZero() {
 		b.exchangeSince = now
 	}
-	subtreeOnly := kind != counts.Answer
+	subtreeOnly := kind != counts.MemberReply
 	content := counts.Content{Now: now, Kind: kind, Rates: b.ratesFor(now, p, subtreeOnly)}
-	if kind != counts.FromMember {
-		content.Boundaries, content.Version = b.boundaries(now)
+	if kind != counts.MemberReport {
+		content.Boundaries, content.BoundariesVersion = b.boundaries(now)
 	}
 	content.Uses = b.uses.next(now, p, subtreeOnly, b.inSubtree)
 	m := p.out.Next(&view{b, p, subtreeOnly}, content, b.firstStream)
 	m.Name, m.Level = b.name, b.level
-	m.Heard = p.in.Heard()
+	m.Acknowledged = p.in.Position()
 	m.AgeMillis = uint16(min(b.ageFor(now, p, subtreeOnly), maxCountsAge).Milliseconds())
-	m.Decides = kind == counts.ToPeer && len(content.Boundaries) > 0 && b.decider(now) == nil
+	m.DecidesBoundaries = kind == counts.CollectorReport && len(content.Boundaries) > 0 && b.decider(now) == nil
 	return m
 }
 
@@ -119,29 +119,29 @@
 
 // markChanged records a change of a server's reported state.
 func (b *Balancer) markChanged(s *server) {
-	s.version = b.changes.Note(s.slot, len(b.slots))
+	s.version = b.changes.Record(s.slot, len(b.slots))
 }
 
 // ownRow returns this instance's own counts for a server.
 func (s *server) ownRow() counts.Row {
 	r := counts.Row{Load: s.own}
 	if s.pace.perEvent > 0 {
-		r.Pace = counts.Pace{Microseconds: uint32(s.pace.perEvent.Microseconds()), Instances: 1}
+		r.EventInterval = counts.EventInterval{Microseconds: uint32(s.pace.perEvent.Microseconds()), Instances: 1}
 	}
 	return r
 }
 
 // ratesFor returns the arrival rates of this instance and of all peers but the
 // receiver or, with subtreeOnly, only of the members in its subtree.
-func (b *Balancer) ratesFor(now time.Time, to *peer, subtreeOnly bool) []counts.Rates {
-	var out []counts.Rates
+func (b *Balancer) ratesFor(now time.Time, to *peer, subtreeOnly bool) []counts.ArrivalRates {
+	var out []counts.ArrivalRates
 	for name, p := range b.pools {
 		sum := b.ratesOf(now, p, name, func(x *peer) bool { return x != to && (!subtreeOnly || b.inSubtree(x)) })
 		if p.memory == 0 && sum.Calls < minCallRate {
 			continue
 		}
-		out = append(out, counts.Rates{Pool: name, Long: float32(sum.Long), Short: float32(sum.Short),
-			ReadingSum: float32(sum.Speed.Sum), ReadingCalls: float32(sum.Speed.Calls), Calls: float32(sum.Calls)})
+		out = append(out, counts.ArrivalRates{Pool: name, LongTokens: float32(sum.Long), ShortTokens: float32(sum.Short),
+			PrefillSpeedSum: float32(sum.Speed.Sum), PrefillSpeedCalls: float32(sum.Speed.Calls), CallsPerSecond: float32(sum.Calls)})
 	}
 	return out
 }
--- a/core/balance/uses.go
+++ b/core/balance/uses.go
@@ -57,7 +57,7 @@
 	to.nextUse = max(to.nextUse, l.first)
 	var out []counts.Use
 	for _, u := range l.list[to.nextUse-l.first:] {
-		if len(out) == counts.MostUses {
+		if len(out) == counts.MaxUses {
 			break
 		}
 		to.nextUse++
