--- a/core/quarantine/digest.go
+++ b/core/quarantine/digest.go
@@ -1,5 +1,6 @@
-// Package quarantine decides which requests are kept from the backend servers
-// because they end the servers that run them. It is pure: the clock is passed in.
+// Package quarantine decides which requests to keep from the backend servers because
+// they crash the servers that run them. It does no I/O and reads no clock: the time is
+// passed in.
 package quarantine
 
 import (
@@ -10,17 +11,16 @@
 	"io"
 )
 
-// Digest identifies a request by what makes a server do what it does: customer,
-// method, host, path with query, and body. The same request has the same digest
-// whichever instance takes it, however often it comes and under whatever ID. A
-// customer is part of it, so that nobody can bring another customer's requests into
-// quarantine.
+// Digest identifies a request by the fields that determine how a server processes it:
+// customer, method, host, path with query, and body. It doesn't depend on the instance
+// that receives the request or on the request ID. The customer is included so that a
+// customer can't have another customer's requests held.
 type Digest [16]byte
 
-// String returns the digest as logs show it.
+// String returns the abbreviated digest used in logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:8]) }
 
-// Request is what a digest is made of.
+// Request holds the fields of a request that its digest covers.
 type Request struct {
 	Customer, Method, Host, URI string
 	Body                        []byte
@@ -38,10 +38,11 @@
 	return d
 }
 
-// addField adds a field with its length, so that no two lists of fields are alike.
+// addField hashes a field with its length, so that different lists of fields never give
+// the same input.
 func addField(h hash.Hash, field string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 	h.Write(length[:])
-	_, _ = io.WriteString(h, field) // a hash takes everything
+	_, _ = io.WriteString(h, field) // a hash never returns an error
 }
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -13,315 +13,319 @@
 	return r.Digest()
 }
 
-// world is one judge with its register, and the time.
-type world struct {
-	t   *testing.T
-	r   *Register
-	j   *Judge
-	now time.Time
+// fixture is an evaluator with its registry and a clock.
+type fixture struct {
+	t        *testing.T
+	registry *Registry
+	ev       *Evaluator
+	now      time.Time
 }
 
-func newWorld(t *testing.T) *world {
-	r := NewRegister()
-	return &world{t, r, NewJudge(r), t0}
+func newFixture(t *testing.T) *fixture {
+	r := NewRegistry()
+	return &fixture{t, r, NewEvaluator(r), t0}
 }
 
-// ends tells that a server has ended just now under a run that began before.
-func (w *world) ends(request, server string, running time.Duration) {
-	w.j.Take(w.now, Ending{Request: digest(request), Server: server, Began: running})
+// reportCrash reports a server that has just crashed under a run started the given time
+// before.
+func (f *fixture) reportCrash(request, server string, running time.Duration) {
+	f.ev.Report(f.now, CrashReport{Request: digest(request), Server: server, Began: running})
 }
 
-// endInTurn tells of ends under "q", one each second, at servers whose names begin so.
-func (w *world) endInTurn(servers string, n int) {
+// reportCrashes reports n crashes under "q", one each second, at servers with the given
+// name prefix.
+func (f *fixture) reportCrashes(servers string, n int) {
 	for i := range n {
-		w.after(time.Second)
-		w.ends("q", fmt.Sprint(servers, i), 100*time.Millisecond)
+		f.advance(time.Second)
+		f.reportCrash("q", fmt.Sprint(servers, i), 100*time.Millisecond)
 	}
 }
 
-func (w *world) expect(request string, want Standing) {
-	w.t.Helper()
-	got, _ := w.r.Ruling(w.now, digest(request))
-	if got.Standing != want {
-		w.t.Errorf("%s is %v, want %v", request, got.Standing, want)
+func (f *fixture) expect(request string, want Status) {
+	f.t.Helper()
+	got, _ := f.registry.Decision(f.now, digest(request))
+	if got.Status != want {
+		f.t.Errorf("%s is %v, want %v", request, got.Status, want)
 	}
 }
 
-func (w *world) after(d time.Duration) { w.now = w.now.Add(d) }
+func (f *fixture) advance(d time.Duration) { f.now = f.now.Add(d) }
 
-func TestThreeEndsOneAfterTheOtherHold(t *testing.T) {
-	w := newWorld(t)
-	for i, want := range []Standing{Cleared, Suspected, Held} {
-		w.after(time.Second)
-		w.ends("q", fmt.Sprint("s", i), 100*time.Millisecond)
-		w.expect("q", want)
+func TestThreeConsecutiveCrashesHold(t *testing.T) {
+	f := newFixture(t)
+	for i, want := range []Status{Cleared, Suspected, Held} {
+		f.advance(time.Second)
+		f.reportCrash("q", fmt.Sprint("s", i), 100*time.Millisecond)
+		f.expect("q", want)
 	}
 }
 
-// A power cut ends many servers under calls that are alike; all these runs say
-// together only once that a server has ended.
-func TestEndsAtTheSameTimeCountOnce(t *testing.T) {
-	w := newWorld(t)
+// A power cut stops many servers that run identical calls. The simultaneous crashes must
+// count as one.
+func TestSimultaneousCrashesCountOnce(t *testing.T) {
+	f := newFixture(t)
 	for i := range 50 {
-		w.after(time.Millisecond)
-		w.ends("ping", fmt.Sprint("s", i), time.Second)
+		f.advance(time.Millisecond)
+		f.reportCrash("ping", fmt.Sprint("s", i), time.Second)
 	}
-	w.expect("ping", Cleared)
+	f.expect("ping", Cleared)
 }
 
-// Copies of a request that run at the same moment must not keep each other from
-// counting.
+// Simultaneous copies of a request must not keep each other's crashes from counting.
 func TestOverlappingCopiesAreHeld(t *testing.T) {
-	w := newWorld(t)
+	f := newFixture(t)
 	for i := range 12 {
-		w.after(60 * time.Millisecond)
-		w.ends("q", fmt.Sprint("s", i), 100*time.Millisecond)
+		f.advance(60 * time.Millisecond)
+		f.reportCrash("q", fmt.Sprint("s", i), 100*time.Millisecond)
 	}
-	w.expect("q", Held)
+	f.expect("q", Held)
 }
 
-// Proof that a server has ended may come seconds later, and in any order.
-func TestEndsToldOutOfOrderAreHeld(t *testing.T) {
-	w := newWorld(t)
-	w.after(time.Minute)
+// Confirmations of crashes may arrive seconds late and in any order.
+func TestCrashesReportedOutOfOrderHold(t *testing.T) {
+	f := newFixture(t)
+	f.advance(time.Minute)
 	for i := range 3 {
-		w.after(Deliberation)
-		ended := time.Duration(i+1) * time.Second // the newest first
-		w.j.Take(w.now, Ending{Request: digest("q"), Server: fmt.Sprint("s", i), Began: ended + 100*time.Millisecond, Ended: ended})
+		f.advance(DecisionDelay)
+		ended := time.Duration(i+1) * time.Second // the latest first
+		f.ev.Report(f.now, CrashReport{Request: digest("q"), Server: fmt.Sprint("s", i), Began: ended + 100*time.Millisecond, Ended: ended})
 	}
-	w.expect("q", Held)
+	f.expect("q", Held)
 }
 
-// Four copies at a time, at as many entries, each of which sees the other servers end
-// as well: the request itself accounts for them.
-func TestCopiesAtManyEntriesAreHeld(t *testing.T) {
-	w := newWorld(t)
+// Four copies of a request run at once through four entries, and each entry lists the
+// other servers as crashed too. The crashes must count, as the request ran at all of
+// these servers.
+func TestCopiesAtSeveralEntriesAreHeld(t *testing.T) {
+	f := newFixture(t)
 	for i := range 4 {
-		w.after(time.Second)
+		f.advance(time.Second)
 		var all []string
 		for k := range 4 {
 			all = append(all, fmt.Sprint("s", i, k))
 		}
 		for k, server := range all {
 			others := append(append([]string{}, all[:k]...), all[k+1:]...)
-			w.j.Take(w.now, Ending{Request: digest("q"), Server: server, Began: 100 * time.Millisecond, Others: others})
+			f.ev.Report(f.now, CrashReport{Request: digest("q"), Server: server, Began: 100 * time.Millisecond, Others: others})
 		}
 	}
-	w.expect("q", Held)
+	f.expect("q", Held)
 }
 
 func TestSuccessClears(t *testing.T) {
-	w := newWorld(t)
-	w.endInTurn("s", 2)
-	if _, tell := w.j.Succeeded(w.now, digest("q"), w.now.Add(-time.Minute)); tell {
-		t.Error("a success from before the ends cleared the request")
+	f := newFixture(t)
+	f.reportCrashes("s", 2)
+	if _, publish := f.ev.RecordSuccess(f.now, digest("q"), f.now.Add(-time.Minute)); publish {
+		t.Error("a success from before the crashes cleared the request")
 	}
-	w.after(time.Millisecond)
-	if x, tell := w.j.Succeeded(w.now, digest("q"), w.now); !tell || x.Standing != Cleared {
-		t.Errorf("a success of a suspected request gave %+v, told %v", x, tell)
+	f.advance(time.Millisecond)
+	if x, publish := f.ev.RecordSuccess(f.now, digest("q"), f.now); !publish || x.Status != Cleared {
+		t.Errorf("a success of a suspected request returned %+v, publish %v", x, publish)
 	}
-	w.endInTurn("later", 2)
-	w.expect("q", Suspected)
+	f.reportCrashes("later", 2)
+	f.expect("q", Suspected)
 }
 
-// Reports of the same end, by several instances and twice, are one.
-func TestOneEndCountsOnce(t *testing.T) {
-	w := newWorld(t)
+// Several reports of the same crash, by one instance or more, must count as one.
+func TestDuplicateReportsCountOnce(t *testing.T) {
+	f := newFixture(t)
 	for i := range 5 {
-		w.after(time.Second)
-		w.j.Take(w.now, Ending{Request: digest("q"), Server: "s", Began: time.Duration(i)*time.Second + 100*time.Millisecond, Ended: time.Duration(i) * time.Second})
+		f.advance(time.Second)
+		f.ev.Report(f.now, CrashReport{Request: digest("q"), Server: "s", Began: time.Duration(i)*time.Second + 100*time.Millisecond, Ended: time.Duration(i) * time.Second})
 	}
-	w.expect("q", Cleared)
+	f.expect("q", Cleared)
 }
 
-// A start ends once. Calls that are sent to it later, since something still listens
-// there, break off one after the other and say nothing.
-func TestAStartEndsOnce(t *testing.T) {
-	w := newWorld(t)
+// Something else may listen at the address of a crashed server. Calls that are sent
+// there later and break off must not count as further crashes.
+func TestServerStartCrashesOnce(t *testing.T) {
+	f := newFixture(t)
 	for range 5 {
-		w.after(time.Second)
-		w.ends("q", "start of s", 100*time.Millisecond)
+		f.advance(time.Second)
+		f.reportCrash("q", "start of s", 100*time.Millisecond)
 	}
-	w.expect("q", Cleared)
+	f.expect("q", Cleared)
 }
 
-// A server that keeps its ID over its starts ends three times.
-func TestEndsOfOneServerOneAfterTheOtherHold(t *testing.T) {
-	w := newWorld(t)
+// A server that keeps its ID over restarts crashes three times.
+func TestConsecutiveCrashesOfOneServerHold(t *testing.T) {
+	f := newFixture(t)
 	for range 3 {
-		w.after(time.Second)
-		w.j.Take(w.now, Ending{Request: digest("q"), Server: "s", KeepsID: true, Began: 100 * time.Millisecond})
+		f.advance(time.Second)
+		f.ev.Report(f.now, CrashReport{Request: digest("q"), Server: "s", KeepsID: true, Began: 100 * time.Millisecond})
 	}
-	w.expect("q", Held)
+	f.expect("q", Held)
 }
 
-// What ran beside a held request is not blamed for the ends that the request
-// explains, whether these were reported before the ruling or after it.
-func TestHeldRequestExplainsEndsForOthers(t *testing.T) {
-	w := newWorld(t)
+// Crashes that are attributed to a held request must not count against requests that ran
+// beside it, whether they were reported before the hold or after it.
+func TestCrashesOfHeldRequestDoNotCountAgainstOthers(t *testing.T) {
+	f := newFixture(t)
 	for i := range 3 {
-		w.after(time.Second)
+		f.advance(time.Second)
 		server := fmt.Sprint("s", i)
 		if i < 2 {
-			w.ends("before", server, 500*time.Millisecond)
+			f.reportCrash("before", server, 500*time.Millisecond)
 		}
-		w.ends("q", server, 100*time.Millisecond)
+		f.reportCrash("q", server, 100*time.Millisecond)
 		if i > 0 {
-			w.ends("after", server, 500*time.Millisecond)
+			f.reportCrash("after", server, 500*time.Millisecond)
 		}
 	}
-	w.expect("q", Held)
+	f.expect("q", Held)
 	for i := range 2 {
-		w.after(time.Second)
-		w.ends("before", fmt.Sprint("later", i), 100*time.Millisecond)
-		w.ends("after", fmt.Sprint("later", i), 100*time.Millisecond)
-		w.expect("before", Suspected)
+		f.advance(time.Second)
+		f.reportCrash("before", fmt.Sprint("later", i), 100*time.Millisecond)
+		f.reportCrash("after", fmt.Sprint("later", i), 100*time.Millisecond)
+		f.expect("before", Suspected)
 	}
-	w.expect("after", Suspected)
+	f.expect("after", Suspected)
 }
 
-// A held request comes free, and one more end is enough for the next hold.
-func TestOneEndAfterAHoldIsEnough(t *testing.T) {
-	w := newWorld(t)
-	w.endInTurn("s", 3)
-	w.after(FirstHold)
-	w.expect("q", Suspected)
-	w.ends("q", "next", 100*time.Millisecond)
-	w.expect("q", Held)
-	w.after(holdGrowth*FirstHold + memoryTime)
-	w.expect("q", Cleared)
+// After a hold, one more crash must start the next one.
+func TestOneCrashAfterHoldHoldsAgain(t *testing.T) {
+	f := newFixture(t)
+	f.reportCrashes("s", 3)
+	f.advance(InitialHold)
+	f.expect("q", Suspected)
+	f.reportCrash("q", "next", 100*time.Millisecond)
+	f.expect("q", Held)
+	f.advance(holdFactor*InitialHold + retention)
+	f.expect("q", Cleared)
 }
 
-// A request that ends servers whenever it may costs six of them in an hour.
+// A request that is sent whenever it is not held crashes at most six further servers in
+// an hour.
 func TestHoldsGrow(t *testing.T) {
-	w := newWorld(t)
-	ends := 0
-	for w.now.Sub(t0) < time.Hour {
-		if x, known := w.r.Ruling(w.now, digest("q")); !known || x.Standing != Held {
-			ends++
-			w.ends("q", fmt.Sprint("s", ends), 100*time.Millisecond)
+	f := newFixture(t)
+	crashes := 0
+	for f.now.Sub(t0) < time.Hour {
+		if x, known := f.registry.Decision(f.now, digest("q")); !known || x.Status != Held {
+			crashes++
+			f.reportCrash("q", fmt.Sprint("s", crashes), 100*time.Millisecond)
 		}
-		w.after(time.Second)
-		w.j.Review(w.now)
+		f.advance(time.Second)
+		f.ev.Review(f.now)
 	}
-	if ends > roundsToHold+6 {
-		t.Errorf("%d servers ended in an hour", ends)
+	if crashes > roundsToHold+6 {
+		t.Errorf("%d servers crashed in an hour", crashes)
 	}
 }
 
-// A hold that is over is not taken up again before another server has ended, whatever
-// is decided on others meanwhile; also where another judge had ruled.
-func TestHoldThatIsOverNeedsAnotherEnd(t *testing.T) {
-	w := newWorld(t)
-	w.endInTurn("s", 3)
+// A hold that has expired must not be renewed without another crash, whatever is decided
+// on other requests. This also holds for decisions of another evaluator.
+func TestExpiredHoldNeedsAnotherCrash(t *testing.T) {
+	f := newFixture(t)
+	f.reportCrashes("s", 3)
 	for i := range 3 {
-		w.after(20 * time.Millisecond)
-		w.ends("other's", fmt.Sprint("t", i), 10*time.Millisecond)
+		f.advance(20 * time.Millisecond)
+		f.reportCrash("other's", fmt.Sprint("t", i), 10*time.Millisecond)
 	}
-	x := Ruling{Digest: digest("other's"), Standing: Held, Version: 2, Holds: 1}
-	w.r.Take(w.now, x)
-	w.j.Took(x)
-	w.after(FirstHold)
-	if list := w.j.Review(w.now); len(list) != 0 {
-		t.Errorf("held again without an end: %+v", list)
+	x := Decision{Digest: digest("other's"), Status: Held, Version: 2, Holds: 1}
+	f.registry.Merge(f.now, x)
+	f.ev.Observe(x)
+	f.advance(InitialHold)
+	if list := f.ev.Review(f.now); len(list) != 0 {
+		t.Errorf("held again without a crash: %+v", list)
 	}
 	for _, name := range []string{"q", "other's"} {
-		w.expect(name, Suspected)
-		w.ends(name, "next of "+name, 100*time.Millisecond)
-		w.expect(name, Held)
+		f.expect(name, Suspected)
+		f.reportCrash(name, "next of "+name, 100*time.Millisecond)
+		f.expect(name, Held)
 	}
 }
 
-// Ends can follow each other so fast that no word of a success comes between.
-func TestHoldWaitsForWordOfSuccesses(t *testing.T) {
-	w := newWorld(t)
+// Crashes can follow each other faster than reports of successes arrive.
+func TestHoldWaitsForSuccessReports(t *testing.T) {
+	f := newFixture(t)
 	for i := range 3 {
-		w.after(20 * time.Millisecond)
-		w.ends("alike", fmt.Sprint("s", i), 10*time.Millisecond)
-		w.ends("lethal", fmt.Sprint("s", i), 10*time.Millisecond)
-	}
-	w.expect("alike", Suspected)
-	w.after(20 * time.Millisecond)
-	w.j.Succeeded(w.now, digest("alike"), w.now.Add(-time.Millisecond))
-	w.after(Deliberation)
-	if list := w.j.Review(w.now); len(list) != 1 || list[0].Digest != digest("lethal") || list[0].Standing != Held {
+		f.advance(20 * time.Millisecond)
+		f.reportCrash("identical", fmt.Sprint("s", i), 10*time.Millisecond)
+		f.reportCrash("lethal", fmt.Sprint("s", i), 10*time.Millisecond)
+	}
+	f.expect("identical", Suspected)
+	f.advance(20 * time.Millisecond)
+	f.ev.RecordSuccess(f.now, digest("identical"), f.now.Add(-time.Millisecond))
+	f.advance(DecisionDelay)
+	if list := f.ev.Review(f.now); len(list) != 1 || list[0].Digest != digest("lethal") || list[0].Status != Held {
 		t.Errorf("got %+v", list)
 	}
-	w.expect("alike", Cleared)
+	f.expect("identical", Cleared)
 }
 
-// Word of a success from before the ends comes after the hold.
-func TestLateWordOfASuccessLiftsAHold(t *testing.T) {
-	w := newWorld(t)
-	served := w.now
-	w.endInTurn("s", roundsToHold)
-	w.expect("q", Held)
-	if x, tell := w.j.Succeeded(w.now, digest("q"), served); !tell || x.Standing != Suspected || x.Holds != 0 {
-		t.Errorf("got %+v, told %v", x, tell)
-	}
-	w.endInTurn("t", roundsToHoldServed-roundsToHold)
-	w.expect("q", Held)
+// A success from before the crashes is reported after the hold.
+func TestLateSuccessReportLiftsHold(t *testing.T) {
+	f := newFixture(t)
+	served := f.now
+	f.reportCrashes("s", roundsToHold)
+	f.expect("q", Held)
+	if x, publish := f.ev.RecordSuccess(f.now, digest("q"), served); !publish || x.Status != Suspected || x.Holds != 0 {
+		t.Errorf("got %+v, publish %v", x, publish)
+	}
+	f.reportCrashes("t", roundsToHoldServed-roundsToHold)
+	f.expect("q", Held)
 }
 
-// A request that servers could run until lately, and can't any more, is held as well.
-func TestRequestThatWasServedIsHeldLater(t *testing.T) {
-	w := newWorld(t)
-	w.endInTurn("s", roundsToSuspect)
-	w.j.Succeeded(w.now, digest("q"), t0)
-	w.endInTurn("t", roundsToHoldServed-roundsToSuspect-1)
-	w.expect("q", Suspected)
-	w.endInTurn("u", 1)
-	w.expect("q", Held)
+// A request that servers could process shortly before, but no longer can, is held as
+// well.
+func TestRecentlyServedRequestIsHeldLater(t *testing.T) {
+	f := newFixture(t)
+	f.reportCrashes("s", roundsToSuspect)
+	f.ev.RecordSuccess(f.now, digest("q"), t0)
+	f.reportCrashes("t", roundsToHoldServed-roundsToSuspect-1)
+	f.expect("q", Suspected)
+	f.reportCrashes("u", 1)
+	f.expect("q", Held)
 }
 
-// The instance that counted is gone; the next one goes on from the suspicion that all
-// were told of.
-func TestAnotherJudgeGoesOn(t *testing.T) {
-	w := newWorld(t)
-	w.endInTurn("s", 2)
-	w.j = NewJudge(w.r)
-	w.after(time.Second)
-	w.ends("q", "s2", 100*time.Millisecond)
-	w.expect("q", Held)
+// The evaluating instance is lost. The next evaluator continues from the published
+// suspicion.
+func TestNextEvaluatorContinues(t *testing.T) {
+	f := newFixture(t)
+	f.reportCrashes("s", 2)
+	f.ev = NewEvaluator(f.registry)
+	f.advance(time.Second)
+	f.reportCrash("q", "s2", 100*time.Millisecond)
+	f.expect("q", Held)
 }
 
-// Two sides of a partition decide for themselves. Whatever the order in which they
-// hear of each other's rulings, both end up with the same.
-func TestRulingsMerge(t *testing.T) {
-	a := Ruling{Digest: digest("q"), Standing: Suspected, Version: 1, Servers: []string{"s1"}}
-	b := Ruling{Digest: digest("q"), Standing: Held, Version: 1, Servers: []string{"s2"}}
-	cleared := Ruling{Digest: digest("q"), Standing: Cleared, Version: 2}
-	for _, order := range [][]Ruling{{a, b, cleared}, {cleared, b, a}, {b, cleared, a}} {
-		r := NewRegister()
+// Both sides of a partition make decisions. After the exchange both must have the same
+// decisions, whatever the order of arrival.
+func TestDecisionsMerge(t *testing.T) {
+	a := Decision{Digest: digest("q"), Status: Suspected, Version: 1, Servers: []string{"s1"}}
+	b := Decision{Digest: digest("q"), Status: Held, Version: 1, Servers: []string{"s2"}}
+	cleared := Decision{Digest: digest("q"), Status: Cleared, Version: 2}
+	for _, order := range [][]Decision{{a, b, cleared}, {cleared, b, a}, {b, cleared, a}} {
+		r := NewRegistry()
 		for _, x := range order {
-			r.Take(t0, x)
+			r.Merge(t0, x)
 		}
-		if got, _ := r.Ruling(t0, digest("q")); got.Standing != Cleared || got.Version != 2 {
+		if got, _ := r.Decision(t0, digest("q")); got.Status != Cleared || got.Version != 2 {
 			t.Errorf("got %+v", got)
 		}
 	}
-	for _, order := range [][]Ruling{{a, b}, {b, a}} {
-		r := NewRegister()
+	for _, order := range [][]Decision{{a, b}, {b, a}} {
+		r := NewRegistry()
 		for _, x := range order {
-			r.Take(t0, x)
+			r.Merge(t0, x)
 		}
-		if got, _ := r.Ruling(t0, digest("q")); got.Standing != Held || len(got.Servers) != 2 {
+		if got, _ := r.Decision(t0, digest("q")); got.Status != Held || len(got.Servers) != 2 {
 			t.Errorf("got %+v", got)
 		}
 	}
 }
 
-// Rulings are told again and again; that must not make a hold last longer.
-func TestTellingDoesNotProlong(t *testing.T) {
-	one, two := NewRegister(), NewRegister()
-	one.Take(t0, Ruling{Digest: digest("q"), Standing: Held, Version: 1})
+// Decisions are sent repeatedly; that must not prolong a hold.
+func TestResendingDoesNotProlongHold(t *testing.T) {
+	one, two := NewRegistry(), NewRegistry()
+	one.Merge(t0, Decision{Digest: digest("q"), Status: Held, Version: 1})
 	now := t0
-	for now.Sub(t0) < FirstHold {
-		for _, x := range one.Told(now) {
-			two.Take(now.Add(20*time.Millisecond), x)
+	for now.Sub(t0) < InitialHold {
+		for _, x := range one.NextToSend(now) {
+			two.Merge(now.Add(20*time.Millisecond), x)
 		}
-		for _, x := range two.Told(now.Add(30 * time.Millisecond)) {
-			one.Take(now.Add(50*time.Millisecond), x)
+		for _, x := range two.NextToSend(now.Add(30 * time.Millisecond)) {
+			one.Merge(now.Add(50*time.Millisecond), x)
 		}
 		now = now.Add(500 * time.Millisecond)
 	}
@@ -330,34 +334,34 @@
 	}
 }
 
-// Who has thousands of requests that end servers fills the register; what is held
-// stays, and the memory is bounded.
-func TestRegisterAndJudgeAreBounded(t *testing.T) {
-	w := newWorld(t)
-	w.r.Take(w.now, Ruling{Digest: digest("held"), Standing: Held, Version: 1})
-	for i := range 3 * mostRecords {
-		w.after(time.Millisecond)
-		w.ends(fmt.Sprint("q", i), fmt.Sprint("s", i), time.Millisecond)
-		w.r.Take(w.now, Ruling{Digest: digest(fmt.Sprint("r", i)), Standing: Suspected, Version: 1})
+// A client with thousands of harmful requests fills the registry. Memory must stay
+// bounded, and holds must not be evicted by suspicions.
+func TestMemoryIsBounded(t *testing.T) {
+	f := newFixture(t)
+	f.registry.Merge(f.now, Decision{Digest: digest("held"), Status: Held, Version: 1})
+	for i := range 3 * maxRecords {
+		f.advance(time.Millisecond)
+		f.reportCrash(fmt.Sprint("q", i), fmt.Sprint("s", i), time.Millisecond)
+		f.registry.Merge(f.now, Decision{Digest: digest(fmt.Sprint("r", i)), Status: Suspected, Version: 1})
 	}
-	w.expect("held", Held)
-	if w.r.Len() > mostRulings || len(w.j.records) > mostRecords {
-		t.Errorf("%d rulings, %d records", w.r.Len(), len(w.j.records))
+	f.expect("held", Held)
+	if f.registry.Len() > maxDecisions || len(f.ev.records) > maxRecords {
+		t.Errorf("%d decisions, %d records", f.registry.Len(), len(f.ev.records))
 	}
 	for range 100 {
-		if n := len(w.r.Told(w.now)); n > mostTold {
-			t.Fatalf("%d rulings told at once", n)
+		if n := len(f.registry.NextToSend(f.now)); n > maxSent {
+			t.Fatalf("%d decisions sent at once", n)
 		}
 	}
 }
 
-func TestDigestsDifferInEachField(t *testing.T) {
+func TestDigestCoversEachField(t *testing.T) {
 	base := Request{Customer: "a", Method: "b", Host: "c", URI: "d", Body: []byte("e")}
 	seen := map[Digest]bool{base.Digest(): true}
 	for _, r := range []Request{{"x", "b", "c", "d", base.Body}, {"a", "x", "c", "d", base.Body}, {"a", "b", "x", "d", base.Body},
 		{"a", "b", "c", "x", base.Body}, {"a", "b", "c", "d", []byte("x")}, {"ab", "", "c", "d", base.Body}, {"a", "b", "c", "", []byte("de")}} {
 		if seen[r.Digest()] {
-			t.Errorf("%+v has a digest that was there", r)
+			t.Errorf("%+v has the digest of another request", r)
 		}
 		seen[r.Digest()] = true
 	}
@@ -374,28 +378,28 @@
 	}
 }
 
-// What a judge does for an ending while register and records are full.
-func BenchmarkTake(b *testing.B) {
-	r := NewRegister()
-	j := NewJudge(r)
-	for i := range mostRulings {
-		r.Take(t0, Ruling{Digest: digest(fmt.Sprint(i)), Standing: Held, Holds: 1, Version: 1, Servers: []string{"a", "b", "c"}})
+// Measures a crash report while registry and records are full.
+func BenchmarkReport(b *testing.B) {
+	r := NewRegistry()
+	j := NewEvaluator(r)
+	for i := range maxDecisions {
+		r.Merge(t0, Decision{Digest: digest(fmt.Sprint(i)), Status: Held, Holds: 1, Version: 1, Servers: []string{"a", "b", "c"}})
 	}
 	n := 0
 	for b.Loop() {
 		n++
-		j.Take(t0, Ending{Request: digest(fmt.Sprint("q", n)), Server: "s"})
+		j.Report(t0, CrashReport{Request: digest(fmt.Sprint("q", n)), Server: "s"})
 	}
 }
 
-// What an instance does for each call while the register is full.
-func BenchmarkRuling(b *testing.B) {
-	r := NewRegister()
-	for i := range mostRulings {
-		r.Take(t0, Ruling{Digest: digest(fmt.Sprint(i)), Standing: Held, Version: 1})
+// Measures the lookup made for each call while the registry is full.
+func BenchmarkDecision(b *testing.B) {
+	r := NewRegistry()
+	for i := range maxDecisions {
+		r.Merge(t0, Decision{Digest: digest(fmt.Sprint(i)), Status: Held, Version: 1})
 	}
 	d := digest("other")
 	for b.Loop() {
-		r.Ruling(t0, d)
+		r.Decision(t0, d)
 	}
 }
--- a/core/quarantine/replay_test.go
+++ b/core/quarantine/replay_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// replay is a pool of servers under calls, with a judge.
+// replay simulates a pool of servers under load, with an evaluator.
 type replay struct {
-	*world
+	*fixture
 	rnd     *rand.Rand
 	servers []*server
 	started int
 	running map[*run]bool
-	// refused counts the calls that were held, by request.
+	// refused counts the calls that were refused because of a hold, by request.
 	refused map[string]int
-	ends    int
+	crashes int
 	calls   int
-	// downtime passes between the end of a server and its next start, proofDelay until the
-	// end is known.
+	// downtime is the time between a crash and the server's next start, proofDelay the
+	// time until the crash is confirmed.
 	downtime, proofDelay time.Duration
 	successes            *Successes
-	// messages are on their way.
+	// messages are in transit.
 	messages []message
 }
 
@@ -32,12 +32,12 @@
 	deliver func()
 }
 
-// later delivers a message after a delay.
+// later schedules a delivery after a delay.
 func (p *replay) later(d time.Duration, deliver func()) {
 	p.messages = append(p.messages, message{p.now.Add(d), deliver})
 }
 
-// deliver delivers what has arrived.
+// deliver runs the deliveries that are due.
 func (p *replay) deliver() {
 	waiting := p.messages
 	p.messages = nil
@@ -61,22 +61,22 @@
 	server  *server
 	began   time.Time
 	until   time.Time
-	// runs is how many are left to the call, this one included.
+	// runs is the number of runs left to the call, including this one.
 	runs int
 }
 
 const (
 	tick = 10 * time.Millisecond
-	// tellDelay passes until another instance hears of something.
-	tellDelay = 10 * time.Millisecond
-	// retryPause passes until a run that broke off is repeated; while its request is
-	// suspected it is put off further, up to retryWait.
+	// transitTime is the transit time of a message between instances.
+	transitTime = 10 * time.Millisecond
+	// retryPause is the time before a broken run is repeated. While its request is
+	// suspected, the repeat is delayed further, up to retryWait.
 	retryPause = 60 * time.Millisecond
 	retryWait  = 300 * time.Millisecond
 )
 
 func newReplay(t *testing.T, servers int, seed int64) *replay {
-	p := &replay{world: newWorld(t), rnd: rand.New(rand.NewSource(seed)), running: map[*run]bool{}, successes: NewSuccesses(), refused: map[string]int{},
+	p := &replay{fixture: newFixture(t), rnd: rand.New(rand.NewSource(seed)), running: map[*run]bool{}, successes: NewSuccesses(), refused: map[string]int{},
 		downtime: 4 * time.Second, proofDelay: 30 * time.Millisecond}
 	for range servers {
 		p.servers = append(p.servers, &server{id: p.newStart()})
@@ -89,10 +89,10 @@
 	return fmt.Sprint("start-", p.started)
 }
 
-// begin sends a request to a server that is there; it begins a moment later.
+// begin sends a request to a running server, where it starts one millisecond later.
 func (p *replay) begin(request string, lasts time.Duration, runs int) {
 	began := p.now.Add(time.Millisecond)
-	if x, known := p.r.Ruling(p.now, digest(request)); known && x.Standing == Held {
+	if x, known := p.registry.Decision(p.now, digest(request)); known && x.Status == Held {
 		p.refused[request]++
 		return
 	}
@@ -103,25 +103,25 @@
 	p.running[&run{request, s, began, began.Add(lasts), runs}] = true
 }
 
-// crash ends servers at the same time; their runs are reported, and begin anew if
-// they may.
+// crash stops servers simultaneously. Their runs are reported and retried if they have
+// runs left.
 func (p *replay) crash(list ...*server) {
 	var ids []string
 	for _, s := range list {
 		ids = append(ids, s.id)
 	}
-	p.ends += len(list)
+	p.crashes += len(list)
 	for i, s := range list {
 		others := append(append([]string{}, ids[:i]...), ids[i+1:]...)
 		s.id, s.back = p.newStart(), p.now.Add(p.downtime)
-		p.report(s, ids[i], others[:min(len(others), MostOthers)])
+		p.report(s, ids[i], others[:min(len(others), MaxOthers)])
 	}
 }
 
-// answer tells the judge of a success of a request that it has ruled on.
-func (p *replay) answer(x Ruling) {
-	if began, known := p.successes.Last(x.Digest); known && x.Standing != Cleared {
-		p.later(tellDelay, func() { p.j.Succeeded(p.now, x.Digest, began) })
+// answer reports an earlier success of a request on which a decision was published.
+func (p *replay) answer(x Decision) {
+	if began, known := p.successes.Last(x.Digest); known && x.Status != Cleared {
+		p.later(transitTime, func() { p.ev.RecordSuccess(p.now, x.Digest, began) })
 	}
 }
 
@@ -131,14 +131,14 @@
 			continue
 		}
 		delete(p.running, r)
-		e := Ending{Request: digest(r.request), Server: id, Others: others}
+		e := CrashReport{Request: digest(r.request), Server: id, Others: others}
 		began, ended := r.began, p.now
 		p.later(p.proofDelay, func() {
 			e.Began, e.Ended = p.now.Sub(began), p.now.Sub(ended)
-			if x, tell := p.j.Take(p.now, e); tell {
-				p.later(tellDelay, func() { p.answer(x) })
+			if x, publish := p.ev.Report(p.now, e); publish {
+				p.later(transitTime, func() { p.answer(x) })
 			}
-			p.later(Deliberation, func() { p.j.Review(p.now) })
+			p.later(DecisionDelay, func() { p.ev.Review(p.now) })
 		})
 		if r.runs > 1 {
 			p.later(retryPause, func() { p.repeat(r, p.now.Add(retryWait)) })
@@ -146,9 +146,10 @@
 	}
 }
 
-// repeat begins a run again once its request is not suspected any more, or at a time.
+// repeat starts a run again once its request is not suspected any more, or at the latest
+// at the given time.
 func (p *replay) repeat(r *run, latest time.Time) {
-	if x, known := p.r.Ruling(p.now, digest(r.request)); known && x.Standing == Suspected && p.now.Before(latest) {
+	if x, known := p.registry.Decision(p.now, digest(r.request)); known && x.Status == Suspected && p.now.Before(latest) {
 		p.later(tick, func() { p.repeat(r, latest) })
 		return
 	}
@@ -157,20 +158,20 @@
 
 const (
 	lethal = "lethal"
-	// lethalEnds is the most that one request may end: three, and the three that users
-	// allow until all instances know.
-	lethalEnds = 6
+	// lethalCrashes bounds the crashes that one request may cause: three until it is
+	// held, and three that the users allow until all instances know.
+	lethalCrashes = 6
 )
 
-// step lets the runs of one tick end and new calls come.
+// step advances the clock by one tick, ends runs that are due and starts new calls.
 func (p *replay) step() {
-	p.after(tick)
-	p.end()
-	p.comeAnew()
+	p.advance(tick)
+	p.endRuns()
+	p.startCalls()
 }
 
-// end lets the runs whose time has come end.
-func (p *replay) end() {
+// endRuns ends the runs that are due.
+func (p *replay) endRuns() {
 	p.deliver()
 	for r := range p.running {
 		if p.now.Before(r.until) {
@@ -181,15 +182,15 @@
 			continue
 		}
 		delete(p.running, r)
-		p.successes.Note(digest(r.request), r.began)
-		if x, known := p.r.Ruling(p.now, digest(r.request)); known && x.Standing == Suspected {
-			p.later(tellDelay, func() { p.j.Succeeded(p.now, digest(r.request), r.began) })
+		p.successes.Record(digest(r.request), r.began)
+		if x, known := p.registry.Decision(p.now, digest(r.request)); known && x.Status == Suspected {
+			p.later(transitTime, func() { p.ev.RecordSuccess(p.now, digest(r.request), r.began) })
 		}
 	}
 }
 
-// comeAnew lets new calls come.
-func (p *replay) comeAnew() {
+// startCalls starts new calls.
+func (p *replay) startCalls() {
 	for range 3 {
 		p.calls++
 		switch p.rnd.Intn(5) {
@@ -203,10 +204,10 @@
 	}
 }
 
-// Each half second somebody sends a request that ends its server; 300 other calls come
-// each second, some with one body for all, some repeated up to three times. None of
+// A request that crashes its server arrives every half second, among 300 other calls a
+// second, of which some share one body and some are repeated up to three times. None of
 // the others may be held.
-func TestInnocentBesideALethalRequest(t *testing.T) {
+func TestOthersAreNotHeldBesideLethalRequest(t *testing.T) {
 	for seed := range int64(20) {
 		p := newReplay(t, 12, seed)
 		for n := range int(20 * time.Second / tick) {
@@ -215,37 +216,36 @@
 				p.begin(lethal, 100*time.Millisecond, 2)
 			}
 		}
-		p.check(lethalEnds)
+		p.check(lethalCrashes)
 	}
 }
 
-// A request comes each 150 ms, and each time twice, to four servers that are back after
-// half a second. Beside it all other calls have one of four bodies, as health checks
-// have: any of them may be in flight when one server ends, and when the next does a
-// tenth of a second later.
-func TestCallsThatAreAlikeBesideALethalRequest(t *testing.T) {
+// A harmful request arrives twice every 150 ms at four servers that restart within half
+// a second. All other calls have one of four bodies, like health checks, so any of them
+// may be in flight at one crash and again at the next one a tenth of a second later.
+func TestIdenticalCallsBesideLethalRequest(t *testing.T) {
 	for seed := range int64(20) {
 		p := newReplay(t, 4, seed)
 		p.downtime = 500 * time.Millisecond
 		for n := range int(20 * time.Second / tick) {
-			p.after(tick)
-			p.end()
+			p.advance(tick)
+			p.endRuns()
 			if n%15 == 0 || n%15 == 4 {
 				p.begin(lethal, 10*time.Millisecond, 1)
 			}
 			if n%2 == 0 {
-				p.begin(fmt.Sprint("alike ", n/2%4), 40*time.Millisecond, 2)
+				p.begin(fmt.Sprint("identical ", n/2%4), 40*time.Millisecond, 2)
 			}
 		}
 		p.check(20 * int(time.Second/(150*time.Millisecond)))
 	}
 }
 
-// Copies of a request come at the same time at several entries, again and again, and each
-// call may run twice. Until it is held, each copy ends a server by each of its runs while
-// nothing is known, and by one run a time from the second round of ends on:
-// copies x (runs + (proof + deliberation + telling) / pause).
-func TestEndsBeforeAHoldAreBounded(t *testing.T) {
+// Copies of a request arrive simultaneously at several entries, again and again, and
+// each call may run twice. Until the hold, each copy crashes a server with each of its
+// runs while nothing is known, and with one run at a time from the second round on:
+// copies x (runs + (proof + decision delay + transit) / pause).
+func TestCrashesBeforeHoldAreBounded(t *testing.T) {
 	const runs, pause = 2, 150 * time.Millisecond
 	for _, copies := range []int{1, 3, 8, 60} {
 		p := newReplay(t, 10*copies, int64(copies))
@@ -258,32 +258,34 @@
 				}
 			}
 		}
-		rounds := runs + math.Ceil(float64(p.proofDelay+Deliberation+tellDelay)/float64(pause))
+		rounds := runs + math.Ceil(float64(p.proofDelay+DecisionDelay+transitTime)/float64(pause))
 		p.check(copies * int(rounds))
 	}
 }
 
-// A request ends all servers one after the other, so that for a second nobody answers the
-// calls that are alike. Each end met some of them; they had been served until then.
-func TestCallsThatWereServedAreNotHeldWhereAllServersEnd(t *testing.T) {
+// A request crashes all servers in turn, so that identical calls get no answer for a
+// second. Each crash hits some of these calls, which were served until then. They must
+// not be held.
+func TestServedCallsAreNotHeldWhenAllServersCrash(t *testing.T) {
 	const begins = int(time.Second / tick)
 	for seed := range int64(100) {
 		p := newReplay(t, 4, seed)
 		p.downtime = 1200 * time.Millisecond
 		for n := range 5 * begins {
-			p.after(tick)
-			p.end()
+			p.advance(tick)
+			p.endRuns()
 			if n > begins && n%15 == 0 {
 				p.begin(lethal, tick, 2)
 			}
-			p.begin(fmt.Sprint("alike ", n%4), 300*time.Millisecond, 2)
+			p.begin(fmt.Sprint("identical ", n%4), 300*time.Millisecond, 2)
 		}
-		p.check(lethalEnds)
+		p.check(lethalCrashes)
 	}
 }
 
-// Half of the servers end at once, three times within seconds; no request is to blame.
-func TestInnocentInMassCrashes(t *testing.T) {
+// Half of the servers crash simultaneously, three times within seconds. No request may
+// be held.
+func TestMassCrashesHoldNothing(t *testing.T) {
 	for seed := range int64(20) {
 		p := newReplay(t, 40, seed)
 		for n := range int(20 * time.Second / tick) {
@@ -298,15 +300,15 @@
 				p.crash(half...)
 			}
 		}
-		p.check(p.ends)
+		p.check(p.crashes)
 	}
 }
 
-func (p *replay) check(mostEnds int) {
+func (p *replay) check(maxCrashes int) {
 	p.t.Helper()
-	p.t.Logf("%d calls, %d servers ended, held: %v", p.calls, p.ends, p.refused)
-	if p.ends > mostEnds {
-		p.t.Errorf("%d servers ended; at most %d may", p.ends, mostEnds)
+	p.t.Logf("%d calls, %d servers crashed, held: %v", p.calls, p.crashes, p.refused)
+	if p.crashes > maxCrashes {
+		p.t.Errorf("%d servers crashed, want at most %d", p.crashes, maxCrashes)
 	}
 	for request := range p.refused {
 		if request != lethal {
--- a/core/quarantine/successes.go
+++ b/core/quarantine/successes.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// mostSuccesses bounds the requests whose success is remembered: 100 bytes each. Calls
-// that are alike are few, and come so often that they stay in it.
-const mostSuccesses = 2048
+// maxSuccesses bounds the requests whose success is remembered: 100 bytes each.
+// Identical calls, such as health checks, are few and frequent enough to stay among
+// them.
+const maxSuccesses = 2048
 
-// Successes remembers when requests last succeeded at an instance, so that a request
-// can be cleared by what it did before it was suspected. Not safe for concurrent use.
+// Successes remembers the latest success of each request at an instance, so that a
+// request can be cleared by a success from before it was suspected. Not safe for
+// concurrent use.
 type Successes struct {
 	began map[Digest]time.Time
-	// order is a ring of the requests, the oldest at next.
+	// order is a ring buffer of the requests; the oldest is at next.
 	order []Digest
 	next  int
 }
@@ -18,8 +20,8 @@
 // NewSuccesses returns an empty memory.
 func NewSuccesses() *Successes { return &Successes{began: map[Digest]time.Time{}} }
 
-// Note notes a success of a run that began at a time.
-func (s *Successes) Note(request Digest, began time.Time) {
+// Record records the success of a run that began at the given time.
+func (s *Successes) Record(request Digest, began time.Time) {
 	last, known := s.began[request]
 	if known && !began.After(last) {
 		return
@@ -27,16 +29,17 @@
 	s.began[request] = began
 	switch {
 	case known:
-	case len(s.order) < mostSuccesses:
+	case len(s.order) < maxSuccesses:
 		s.order = append(s.order, request)
 	default:
 		delete(s.began, s.order[s.next])
 		s.order[s.next] = request
-		s.next = (s.next + 1) % mostSuccesses
+		s.next = (s.next + 1) % maxSuccesses
 	}
 }
 
-// Last returns when the latest run of a request that has succeeded here began.
+// Last returns the start of the latest run of a request that has succeeded at this
+// instance.
 func (s *Successes) Last(request Digest) (time.Time, bool) {
 	began, known := s.began[request]
 	return began, known
--- a/core/state/command.go
+++ b/core/state/command.go
@@ -73,12 +73,12 @@
 	Withdrawals []fleet.Withdrawal `msgpack:"x,omitempty"`
 	// Register is one server, as in logs that older versions wrote; Servers are any
 	// number.
-	Register *fleet.Server      `msgpack:"g,omitempty"`
-	Servers  []fleet.Server     `msgpack:"v,omitempty"`
-	Rule     *quarantine.Ruling `msgpack:"u,omitempty"`
-	Duty     *DutyCommand       `msgpack:"y,omitempty"`
-	Act      *ActCommand        `msgpack:"a,omitempty"`
-	Reports  []usage.Report     `msgpack:"p,omitempty"`
+	Register *fleet.Server        `msgpack:"g,omitempty"`
+	Servers  []fleet.Server       `msgpack:"v,omitempty"`
+	Rule     *quarantine.Decision `msgpack:"u,omitempty"`
+	Duty     *DutyCommand         `msgpack:"y,omitempty"`
+	Act      *ActCommand          `msgpack:"a,omitempty"`
+	Reports  []usage.Report       `msgpack:"p,omitempty"`
 }
 
 // CallCommand is the subject of the commands about one call.
--- a/core/state/quarantine_test.go
+++ b/core/state/quarantine_test.go
@@ -8,9 +8,9 @@
 	"cardamomwick.example/core/quarantine"
 )
 
-func rule(m *Machine, nowMillis int64, name string, s quarantine.Standing, version uint64) {
+func rule(m *Machine, nowMillis int64, name string, s quarantine.Status, version uint64) {
 	r := quarantine.Request{URI: name}
-	m.Apply((&Command{Type: CommandRule, NowMillis: nowMillis, Rule: &quarantine.Ruling{Digest: r.Digest(), Standing: s, Version: version}}).Encode())
+	m.Apply((&Command{Type: CommandRule, NowMillis: nowMillis, Rule: &quarantine.Decision{Digest: r.Digest(), Status: s, Version: version}}).Encode())
 }
 
 func TestNewestRulingIsKept(t *testing.T) {
@@ -23,7 +23,7 @@
 	}
 	rule(m, 4000, "q", quarantine.Cleared, 3)
 	rule(m, 5000, "q", quarantine.Held, 2)
-	if list := m.Holds(); len(list) != 1 || list[0].Ruling.Standing != quarantine.Cleared {
+	if list := m.Holds(); len(list) != 1 || list[0].Ruling.Status != quarantine.Cleared {
 		t.Errorf("got %+v", list)
 	}
 }
@@ -37,8 +37,8 @@
 	if err := restored.Restore(m.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	got := restored.Holds()[0].Told(1000 + quarantine.FirstHold.Milliseconds()/2)
-	if got.Age != quarantine.FirstHold/2 || got.Standing != quarantine.Held {
+	got := restored.Holds()[0].Told(1000 + quarantine.InitialHold.Milliseconds()/2)
+	if got.Age != quarantine.InitialHold/2 || got.Status != quarantine.Held {
 		t.Errorf("got %+v", got)
 	}
 	rule(restored, time.Hour.Milliseconds(), "other", quarantine.Held, 1)
--- a/ctl/prove/lethal_test.go
+++ b/ctl/prove/lethal_test.go
@@ -44,7 +44,7 @@
 		r := w.call(0, "sync", "", "record that "+crashserver.Marker)
 		took := time.Since(sent)
 		t.Logf("the caller got %d, outcome %q, after %v", r.Status, r.Outcome, took)
-		if r.Error == nil || r.Error.Type != api.ErrorAccepted || r.Error.RetryAfterMillis < quarantine.FirstHold.Milliseconds()/2 {
+		if r.Error == nil || r.Error.Type != api.ErrorAccepted || r.Error.RetryAfterMillis < quarantine.InitialHold.Milliseconds()/2 {
 			t.Errorf("the caller got %+v; want that the call is recorded, and when to come back", r.Error)
 		}
 		time.Sleep(recordTime - took)
--- a/daemon/control/watch.go
+++ b/daemon/control/watch.go
@@ -59,19 +59,19 @@
 	// onFleet is told of each new listing.
 	onFleet func([]fleet.Server)
 	onTable func(*routing.Table)
-	onHolds func([]quarantine.Ruling)
+	onHolds func([]quarantine.Decision)
 }
 
 // NewWatch returns a watch that knows nothing yet; the functions are called
 // from its loop with each new declaration and listing.
 func NewWatch(t *frame.Transport, c *replica.Client, onTable func(*routing.Table), onFleet func([]fleet.Server)) *Watch {
 	return &Watch{transport: t, client: c, mirror: fleet.NewMirror(), heard: time.Now(), onFleet: onFleet, onTable: onTable,
-		onHolds: func([]quarantine.Ruling) {}}
+		onHolds: func([]quarantine.Decision) {}}
 }
 
 // OnHolds sets what is told, before the first declaration, of the requests that the log
 // says are held. Call it before Serve.
-func (w *Watch) OnHolds(f func([]quarantine.Ruling)) { w.onHolds = f }
+func (w *Watch) OnHolds(f func([]quarantine.Decision)) { w.onHolds = f }
 
 // String names the service in the supervisor's log.
 func (w *Watch) String() string { return "watch" }
--- a/daemon/control/wire.go
+++ b/daemon/control/wire.go
@@ -85,5 +85,5 @@
 	// InForce is the version of the declaration in force.
 	InForce uint64 `msgpack:"v,omitempty"`
 	// Holds are the requests that are held, for an instance without a declaration.
-	Holds []quarantine.Ruling `msgpack:"q,omitempty"`
+	Holds []quarantine.Decision `msgpack:"q,omitempty"`
 }
--- a/daemon/quarantine/broken.go
+++ b/daemon/quarantine/broken.go
@@ -67,7 +67,7 @@
 	s := b[id]
 	if s == nil {
 		if len(b) >= mostServers {
-			b.forget(now, quarantine.SameTime)
+			b.forget(now, quarantine.SimultaneousWindow)
 		}
 		if len(b) >= mostServers {
 			return &brokenServer{} // not remembered: thousands of servers break at once
@@ -152,7 +152,7 @@
 		return nil
 	}
 	for other, s := range b {
-		if other != id && len(out) < quarantine.MostOthers && !s.first.IsZero() && s.first.Sub(at.first).Abs() <= quarantine.SameTime {
+		if other != id && len(out) < quarantine.MaxOthers && !s.first.IsZero() && s.first.Sub(at.first).Abs() <= quarantine.SimultaneousWindow {
 			out = append(out, other)
 		}
 	}
--- a/daemon/quarantine/broken_test.go
+++ b/daemon/quarantine/broken_test.go
@@ -122,7 +122,7 @@
 	if len(b) > mostServers || len(b["s"].runs) > mostRuns {
 		t.Errorf("%d servers, %d runs", len(b), len(b["s"].runs))
 	}
-	if n := len(b.others("s")); n > quarantine.MostOthers {
+	if n := len(b.others("s")); n > quarantine.MaxOthers {
 		t.Errorf("%d others", n)
 	}
 	b.forget(at(3*mostServers), proofTime)
--- a/daemon/quarantine/keeper.go
+++ b/daemon/quarantine/keeper.go
@@ -64,14 +64,14 @@
 	mu        sync.Mutex
 	broken    broken
 	successes *quarantine.Successes
-	register  *quarantine.Register
-	judge     *quarantine.Judge
+	register  *quarantine.Registry
+	judge     *quarantine.Evaluator
 }
 
 // New returns a keeper and registers its frame handlers.
 func New(o Options) *Keeper {
-	r := quarantine.NewRegister()
-	k := &Keeper{opt: o, broken: broken{}, successes: quarantine.NewSuccesses(), register: r, judge: quarantine.NewJudge(r)}
+	r := quarantine.NewRegistry()
+	k := &Keeper{opt: o, broken: broken{}, successes: quarantine.NewSuccesses(), register: r, judge: quarantine.NewEvaluator(r)}
 	k.checker = newChecker(k.noteEnded)
 	if t := o.Transport; t != nil {
 		t.HandleOneWay(methodEndings, k.handleEndings)
@@ -111,10 +111,10 @@
 // Held reports whether a request is held, and for how long still.
 func (k *Keeper) Held(request func() quarantine.Digest) (time.Duration, bool) {
 	x, known := k.ruling(request)
-	if !known || x.Standing != quarantine.Held {
+	if !known || x.Status != quarantine.Held {
 		return 0, false
 	}
-	return x.Left(), true
+	return x.Remaining(), true
 }
 
 // Bounds of the wait for a ruling.
@@ -142,19 +142,19 @@
 
 func (k *Keeper) suspected(request func() quarantine.Digest) bool {
 	x, known := k.ruling(request)
-	return known && x.Standing == quarantine.Suspected
+	return known && x.Status == quarantine.Suspected
 }
 
 // ruling returns the ruling on a request. The digest is only asked for while there are
 // rulings.
-func (k *Keeper) ruling(request func() quarantine.Digest) (quarantine.Ruling, bool) {
+func (k *Keeper) ruling(request func() quarantine.Digest) (quarantine.Decision, bool) {
 	if k.known.Load() == 0 {
-		return quarantine.Ruling{}, false
+		return quarantine.Decision{}, false
 	}
 	d := request()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.register.Ruling(time.Now(), d)
+	return k.register.Decision(time.Now(), d)
 }
 
 // Run is one run of a request at a server.
@@ -174,10 +174,10 @@
 func (k *Keeper) Succeeded(r Run, request quarantine.Digest) {
 	k.mu.Lock()
 	k.broken.answered(time.Now(), r.Server, r.KeepsID)
-	k.successes.Note(request, r.Began)
-	x, known := k.register.Ruling(time.Now(), request)
+	k.successes.Record(request, r.Began)
+	x, known := k.register.Decision(time.Now(), request)
 	k.mu.Unlock()
-	if known && x.Standing != quarantine.Cleared {
+	if known && x.Status != quarantine.Cleared {
 		k.tellSuccess(request)
 	}
 }
--- a/daemon/quarantine/keeper_test.go
+++ b/daemon/quarantine/keeper_test.go
@@ -58,7 +58,7 @@
 func breakRun(k *Keeper, r Run, name string) {
 	r.Began = time.Now().Add(-time.Millisecond)
 	k.Broke(r, request(name)())
-	time.Sleep(2*checkPause + quarantine.SameTime)
+	time.Sleep(2*checkPause + quarantine.SimultaneousWindow)
 }
 
 func TestThreeEndedServersHoldARequest(t *testing.T) {
@@ -71,7 +71,7 @@
 		end()
 		breaks(k, id, address, "q")
 	}
-	if left, held := k.Held(request("q")); !held || left > quarantine.FirstHold || left < quarantine.FirstHold/2 {
+	if left, held := k.Held(request("q")); !held || left > quarantine.InitialHold || left < quarantine.InitialHold/2 {
 		t.Errorf("held %v for %v", held, left)
 	}
 	if _, held := k.Held(request("other")); held {
@@ -142,8 +142,8 @@
 			breaks(k, "c", address, "q")
 			time.AfterFunc(50*time.Millisecond, func() { resolve(k) })
 			k.AwaitRuling(t.Context(), request("q"))
-			if x, known := k.ruling(request("q")); !known || x.Standing == quarantine.Suspected {
-				t.Errorf("the repeat goes on while the request is %v", x.Standing)
+			if x, known := k.ruling(request("q")); !known || x.Status == quarantine.Suspected {
+				t.Errorf("the repeat goes on while the request is %v", x.Status)
 			}
 		})
 	}
@@ -175,7 +175,7 @@
 	for range 4 {
 		k.Broke(Run{Server: "a", Address: address, Reached: true, Began: time.Now().Add(-time.Millisecond)}, request("q")())
 		k.Succeeded(Run{Server: "a", Address: address, Began: time.Now()}, request("other")())
-		time.Sleep(2*checkPause + quarantine.SameTime)
+		time.Sleep(2*checkPause + quarantine.SimultaneousWindow)
 	}
 	if k.ServersEnded() != 0 || k.Holding() != 0 {
 		t.Errorf("%d servers ended, %d requests held", k.ServersEnded(), k.Holding())
@@ -208,7 +208,7 @@
 		breaks(k, id, address, "alike")
 		k.Ended(id)
 	}
-	time.Sleep(2 * quarantine.Deliberation)
+	time.Sleep(2 * quarantine.DecisionDelay)
 	if _, held := k.Held(request("alike")); held {
 		t.Error("held, though it never ran at a server that ended")
 	}
--- a/daemon/quarantine/tell.go
+++ b/daemon/quarantine/tell.go
@@ -49,10 +49,10 @@
 }
 
 // endings returns what is to be told to whom of a server's end, by peer address.
-func (k *Keeper) endings(now time.Time, server string, runs []brokenRun, others []string) map[string][]quarantine.Ending {
-	byJudge := map[string][]quarantine.Ending{}
+func (k *Keeper) endings(now time.Time, server string, runs []brokenRun, others []string) map[string][]quarantine.CrashReport {
+	byJudge := map[string][]quarantine.CrashReport{}
 	for _, r := range runs {
-		e := quarantine.Ending{Request: r.request, Server: server, KeepsID: r.keepsID, Began: now.Sub(r.began), Ended: now.Sub(r.ended), Others: others}
+		e := quarantine.CrashReport{Request: r.request, Server: server, KeepsID: r.keepsID, Began: now.Sub(r.began), Ended: now.Sub(r.ended), Others: others}
 		for _, judge := range k.judgesOf(r.request) {
 			byJudge[judge] = append(byJudge[judge], e)
 		}
@@ -100,35 +100,35 @@
 }
 
 // takeEndings counts endings as the judge of their requests.
-func (k *Keeper) takeEndings(list []quarantine.Ending) {
+func (k *Keeper) takeEndings(list []quarantine.CrashReport) {
 	for _, e := range list[:min(len(list), mostTexts)] {
 		log.WithFields(log.Fields{"step": "count end", "request": e.Request.String(), "server": e.Server, "began_ms": e.Began.Milliseconds(), "ended_ms": e.Ended.Milliseconds()}).
 			Info("a server ended under a request")
 	}
-	k.judged(func(now time.Time) (rulings []quarantine.Ruling) {
+	k.judged(func(now time.Time) (rulings []quarantine.Decision) {
 		for _, e := range list {
-			if x, tell := k.judge.Take(now, e); tell {
+			if x, tell := k.judge.Report(now, e); tell {
 				rulings = append(rulings, x)
 			}
 		}
 		return rulings
 	})
 	// What has to wait for word of successes is decided then.
-	time.AfterFunc(quarantine.Deliberation, func() { k.judged(k.judge.Review) })
+	time.AfterFunc(quarantine.DecisionDelay, func() { k.judged(k.judge.Review) })
 }
 
 // takeSuccess takes a success as the judge of its request.
 func (k *Keeper) takeSuccess(s success) {
-	k.judged(func(now time.Time) []quarantine.Ruling {
-		if x, tell := k.judge.Succeeded(now, s.Request, now.Add(-s.Began)); tell {
-			return []quarantine.Ruling{x}
+	k.judged(func(now time.Time) []quarantine.Decision {
+		if x, tell := k.judge.RecordSuccess(now, s.Request, now.Add(-s.Began)); tell {
+			return []quarantine.Decision{x}
 		}
 		return nil
 	})
 }
 
 // judged publishes what the judge decides.
-func (k *Keeper) judged(decide func(now time.Time) []quarantine.Ruling) {
+func (k *Keeper) judged(decide func(now time.Time) []quarantine.Decision) {
 	k.mu.Lock()
 	rulings := decide(time.Now())
 	k.count()
@@ -160,20 +160,20 @@
 }
 
 // answerRulings tells the judges of successes of the requests that are ruled on.
-func (k *Keeper) answerRulings(rulings []quarantine.Ruling) {
+func (k *Keeper) answerRulings(rulings []quarantine.Decision) {
 	for _, x := range rulings {
-		if x.Standing != quarantine.Cleared {
+		if x.Status != quarantine.Cleared {
 			k.tellSuccess(x.Digest)
 		}
 	}
 }
 
 // publish tells all instances of rulings that this one has just made.
-func (k *Keeper) publish(rulings []quarantine.Ruling) {
+func (k *Keeper) publish(rulings []quarantine.Decision) {
 	for _, x := range rulings {
-		log.WithFields(log.Fields{"step": "rule on request", "request": x.Digest.String(), "standing": x.Standing.String(), "servers": x.Servers,
-			"version": x.Version, "left_s": int(x.Left().Seconds())}).Warn("standing of a request under which servers ended")
-		if x.Standing != quarantine.Suspected && x.Age == 0 { // of age 0: it has just been made
+		log.WithFields(log.Fields{"step": "rule on request", "request": x.Digest.String(), "standing": x.Status.String(), "servers": x.Servers,
+			"version": x.Version, "left_s": int(x.Remaining().Seconds())}).Warn("standing of a request under which servers ended")
+		if x.Status != quarantine.Suspected && x.Age == 0 { // of age 0: it has just been made
 			go k.remember(x)
 		}
 	}
@@ -187,7 +187,7 @@
 
 // remember puts a ruling into the log. A lost one costs, after a restart of all
 // instances, the servers that must end again to tell.
-func (k *Keeper) remember(x quarantine.Ruling) {
+func (k *Keeper) remember(x quarantine.Decision) {
 	if k.opt.Log == nil {
 		return
 	}
@@ -199,16 +199,16 @@
 }
 
 // TakeRulings takes what another instance, or the log, tells.
-func (k *Keeper) TakeRulings(list []quarantine.Ruling) {
+func (k *Keeper) TakeRulings(list []quarantine.Decision) {
 	now := time.Now()
-	var news []quarantine.Ruling
+	var news []quarantine.Decision
 	k.mu.Lock()
 	for _, x := range list {
-		if !k.register.Take(now, x) {
+		if !k.register.Merge(now, x) {
 			continue
 		}
 		news = append(news, x)
-		k.judge.Took(x)
+		k.judge.Observe(x)
 	}
 	k.count()
 	k.mu.Unlock()
@@ -222,10 +222,10 @@
 // tellSomeone tells an instance by lot of some rulings, and forgets what is over.
 func (k *Keeper) tellSomeone(now time.Time) {
 	k.mu.Lock()
-	k.register.Forget(now)
-	k.judge.Forget(now)
+	k.register.Expire(now)
+	k.judge.Expire(now)
 	k.broken.forget(now, proofTime)
-	told := k.register.Told(now)
+	told := k.register.NextToSend(now)
 	k.count()
 	k.mu.Unlock()
 	if all := k.instances(); len(told) > 0 && len(all) > 0 {
@@ -236,14 +236,14 @@
 }
 
 func (k *Keeper) handleEndings(from string, body []byte) {
-	var list []quarantine.Ending
+	var list []quarantine.CrashReport
 	if decode(from, body, &list) {
 		k.takeEndings(list)
 	}
 }
 
 func (k *Keeper) handleRulings(from string, body []byte) {
-	var list []quarantine.Ruling
+	var list []quarantine.Decision
 	if decode(from, body, &list) {
 		k.TakeRulings(list)
 	}
