--- a/core/balance/admit.go
+++ b/core/balance/admit.go
@@ -100,8 +100,8 @@
 		own := p.unreadAt(now, s, r, true)
 		first := p.stretch.of(portion(s.slowness, p.speed.time(float64(l.Unread)+own)))
 		first = max(first, s.slotWait(now, p, c, l))
-		if s.limit.Named {
-			first += s.limit.bucket.Until(now, rate(s))
+		if s.limit.Limited {
+			first += s.limit.bucket.TimeUntil(now, rate(s))
 		}
 		if first < least.First {
 			least.First, least.Stream = first, portion(s.slowness, p.streams.length())
--- a/core/balance/belief.go
+++ b/core/balance/belief.go
@@ -31,7 +31,7 @@
 	out := make([]Belief, 0, len(p.servers))
 	for _, s := range p.servers {
 		x := Belief{ID: s.ID, Long: s.long, Slowness: s.slowness, Failures: s.health.failures, Load: s.load()}
-		if s.limit.Named {
+		if s.limit.Limited {
 			x.Limit, x.LimitSince, x.LimitRate, x.LimitSent = s.limit.Limit, s.limit.Since, rate(s), s.limit.sent
 		}
 		out = append(out, x)
--- a/core/balance/demand.go
+++ b/core/balance/demand.go
@@ -35,7 +35,7 @@
 		}
 	}
 	for _, s := range p.servers {
-		if s.TakesWork() && s.limit.Named && calls > 0 {
+		if s.TakesWork() && s.limit.Limited && calls > 0 {
 			withheld += max(0, 1-s.limit.PerSecond*float64(takeWork)/calls)
 		}
 	}
--- a/core/balance/fuzz_test.go
+++ b/core/balance/fuzz_test.go
@@ -16,7 +16,7 @@
 func FuzzReport(f *testing.F) {
 	b, list := pool12()
 	b.Start(t0, list[0].ID, longCall("s"))
-	b.HeardLimit(t0, list[2].ID, ratelimit.Limit{Named: true, PerSecond: 2.5})
+	b.HeardLimit(t0, list[2].ID, ratelimit.Limit{Limited: true, PerSecond: 2.5})
 	first := b.SumTo(t0, "peer")
 	b.Start(t0, list[1].ID, longCall("s"))
 	second := b.AnswerTo(t0, "member")
--- a/core/balance/limit.go
+++ b/core/balance/limit.go
@@ -11,7 +11,7 @@
 
 // limited is what is known of a server's request limit.
 type limited struct {
-	ratelimit.Statement
+	ratelimit.Announced
 	bucket ratelimit.Bucket
 	// from told of it; nil when this instance has read it in an answer.
 	from *peer
@@ -40,10 +40,10 @@
 // HeardLimit takes what an answer of a server says of its request rate.
 func (b *Balancer) HeardLimit(now time.Time, id string, l ratelimit.Limit) {
 	s := b.servers[id]
-	if s == nil || !l.Named && s.limit.Since.IsZero() {
+	if s == nil || !l.Limited && s.limit.Since.IsZero() {
 		return // most servers never name one
 	}
-	if s.limit.Hear(now, l) {
+	if s.limit.Observe(now, l) {
 		b.limitChanged(now, s, nil)
 	}
 }
@@ -51,7 +51,7 @@
 // takeLimits takes what other instances have read.
 func (b *Balancer) takeLimits(now time.Time, from *peer, list []counts.Limit) {
 	for _, l := range list {
-		if s := b.servers[l.Server]; s != nil && s.limit.Adopt(now, l.Limit, l.Age) {
+		if s := b.servers[l.Server]; s != nil && s.limit.Merge(now, l.Limit, l.Age) {
 			b.limitChanged(now, s, from)
 		}
 	}
@@ -61,7 +61,7 @@
 func (b *Balancer) limitChanged(now time.Time, s *server, from *peer) {
 	s.limit.from = from
 	switch {
-	case !s.limit.Named:
+	case !s.limit.Limited:
 		s.limit.bucket = ratelimit.Bucket{}
 	case s.limit.bucket == ratelimit.Bucket{}:
 		s.limit.bucket = ratelimit.NewBucket(now, b.drawn(s.ID))
@@ -98,10 +98,10 @@
 // limitShare is this instance's part of the limits of a pool's servers.
 func (b *Balancer) limitShare(now time.Time, poolName string) float64 {
 	p := b.pool(poolName)
-	k := ratelimit.Known{Own: p.calls.rate(now), Instances: b.instances}
+	k := ratelimit.CallRates{Own: p.calls.rate(now), Instances: b.instances}
 	for _, x := range b.peers {
 		if x.fresh(now) {
-			k.Heard = true
+			k.OthersKnown = true
 			k.Others += x.rates[poolName].Calls
 		}
 	}
@@ -113,7 +113,7 @@
 func (b *Balancer) withTokens(now time.Time, poolName string, list []*server, leaveLimited bool) []*server {
 	rate := b.limitRates(now, poolName)
 	return slices.DeleteFunc(list, func(s *server) bool {
-		return s.limit.Named && (leaveLimited || s.limit.bucket.Until(now, rate(s)) > 0)
+		return s.limit.Limited && (leaveLimited || s.limit.bucket.TimeUntil(now, rate(s)) > 0)
 	})
 }
 
@@ -123,7 +123,7 @@
 func unconfirmed(now time.Time, list []*server) []*server {
 	var out []*server
 	for _, s := range list {
-		if s.limit.Unconfirmed(now) {
+		if s.limit.Stale(now) {
 			out = append(out, s)
 		}
 	}
@@ -132,7 +132,7 @@
 
 // takeToken takes a token of a limited server.
 func (b *Balancer) takeToken(now time.Time, s *server) {
-	if s.limit.Named {
+	if s.limit.Limited {
 		s.limit.bucket.Take(now, b.limitRates(now, s.Pool)(s))
 		s.limit.sent++
 	}
@@ -150,17 +150,17 @@
 	var all, tokens float64
 	soonest := time.Duration(math.MaxInt64)
 	for _, s := range usable(now, b.pool(poolName).servers, exclude) {
-		if !s.limit.Named {
+		if !s.limit.Limited {
 			continue
 		}
 		limited = true
 		r := rate(s)
 		all += r
 		tokens += s.limit.bucket.Tokens(now, r) - begunToken
-		soonest = min(soonest, s.limit.bucket.Until(now, r))
+		soonest = min(soonest, s.limit.bucket.TimeUntil(now, r))
 	}
 	if ahead == 0 || !limited {
 		return soonest, limited
 	}
-	return max(soonest, ratelimit.TimeFor(float64(1+ahead)-tokens, all)), true
+	return max(soonest, ratelimit.RefillTime(float64(1+ahead)-tokens, all)), true
 }
--- a/core/balance/limit_test.go
+++ b/core/balance/limit_test.go
@@ -9,7 +9,7 @@
 )
 
 func perSecond(x float64) ratelimit.Limit {
-	l, _ := ratelimit.Named(x)
+	l, _ := ratelimit.NewLimit(x)
 	return l
 }
 
@@ -116,7 +116,7 @@
 	again := append(list[:0:0], list...)
 	again[0].ID += "-again"
 	b.SetFleet(again)
-	if b.servers[again[0].ID].limit.Named {
+	if b.servers[again[0].ID].limit.Limited {
 		t.Error("a new start has the limit of its former one")
 	}
 }
--- a/core/balance/report.go
+++ b/core/balance/report.go
@@ -90,12 +90,12 @@
 func (v *view) Changes() *counts.ChangeLog { return &v.b.changes }
 
 // Limit implements counts.View. What the receiver has told is not told back.
-func (v *view) Limit(slot int) ratelimit.Statement {
+func (v *view) Limit(slot int) ratelimit.Announced {
 	s := v.b.slots[slot]
 	if s == nil || s.limit.from == v.to {
-		return ratelimit.Statement{}
+		return ratelimit.Announced{}
 	}
-	return s.limit.Statement
+	return s.limit.Announced
 }
 
 // Row implements counts.View.
--- a/core/counts/counts_test.go
+++ b/core/counts/counts_test.go
@@ -21,13 +21,13 @@
 	ids      []string
 	rows     []Row
 	versions map[int]uint64
-	limits   map[int]ratelimit.Statement
+	limits   map[int]ratelimit.Announced
 	changes  ChangeLog
 	now      time.Time
 }
 
 func (t *table) Slots() int                      { return len(t.ids) }
-func (t *table) Limit(i int) ratelimit.Statement { return t.limits[i] }
+func (t *table) Limit(i int) ratelimit.Announced { return t.limits[i] }
 func (t *table) Row(i int) (string, Row)         { return t.ids[i], t.rows[i] }
 func (t *table) set(i int, id string) {
 	t.ids[i], t.rows[i] = id, Row{}
@@ -56,7 +56,7 @@
 func (t *table) say(i int, l ratelimit.Limit) {
 	t.now = t.now.Add(time.Second)
 	said := t.limits[i]
-	said.Hear(t.now, l)
+	said.Observe(t.now, l)
 	t.limits[i] = said
 	t.touch(i)
 }
@@ -73,7 +73,7 @@
 }
 
 func engines(n int) *table {
-	t := &table{versions: map[int]uint64{}, limits: map[int]ratelimit.Statement{}, now: time.Unix(0, 0)}
+	t := &table{versions: map[int]uint64{}, limits: map[int]ratelimit.Announced{}, now: time.Unix(0, 0)}
 	for i := range n {
 		t.ids = append(t.ids, engine(i))
 		t.rows = append(t.rows, busy(i+1))
@@ -206,7 +206,7 @@
 			if i := rnd.Intn(30); view.ids[i] != "" && rnd.Intn(4) == 0 {
 				var said ratelimit.Limit // none
 				if rnd.Intn(3) > 0 {
-					said, _ = ratelimit.Named(9 * rnd.Float64())
+					said, _ = ratelimit.NewLimit(9 * rnd.Float64())
 				}
 				view.say(i, said)
 			}
@@ -264,7 +264,7 @@
 // A limit is told once, with its age, and the sender's other counts go on as before.
 func TestLimitsAreToldOnce(t *testing.T) {
 	view := engines(5)
-	l := ratelimit.Limit{Named: true, PerSecond: 2.9}
+	l := ratelimit.Limit{Limited: true, PerSecond: 2.9}
 	view.say(3, l)
 	var s Sender
 	var r Receiver
@@ -288,13 +288,13 @@
 func FuzzTake(f *testing.F) {
 	var s Sender
 	m := s.Next(engines(3), Content{Uses: []Use{{engine(1), 77}}}, 1)
-	f.Add(m.Rows, m.Uses, appendLimit(nil, 1, ratelimit.Limit{Named: true, PerSecond: 2.9}, time.Second), uint32(2), uint32(1))
+	f.Add(m.Rows, m.Uses, appendLimit(nil, 1, ratelimit.Limit{Limited: true, PerSecond: 2.9}, time.Second), uint32(2), uint32(1))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, []byte{1}, []byte{1, 0xff}, uint32(2), uint32(1))
 	f.Fuzz(func(t *testing.T, rows, uses, limits []byte, stream, sequence uint32) {
 		var r Receiver
 		u, _ := r.Take(&Message{At: Position{Stream: stream, Sequence: sequence}, Names: []string{"a", "b"}, Rows: rows, Uses: uses, Limits: limits})
 		for _, l := range u.Limits {
-			if l.PerSecond < 0 || l.Age < 0 || l.Named && math.IsNaN(l.PerSecond) {
+			if l.PerSecond < 0 || l.Age < 0 || l.Limited && math.IsNaN(l.PerSecond) {
 				t.Errorf("limit %+v", l)
 			}
 		}
--- a/core/counts/pack.go
+++ b/core/counts/pack.go
@@ -104,8 +104,8 @@
 // the rate in its smallest parts, then its age.
 func appendLimit(out []byte, number uint32, l ratelimit.Limit, age time.Duration) []byte {
 	rate := uint64(0)
-	if l.Named {
-		rate = 1 + uint64(math.Round(l.PerSecond*ratelimit.PartsPerSecond))
+	if l.Limited {
+		rate = 1 + uint64(math.Round(l.PerSecond*ratelimit.StepsPerUnit))
 	}
 	out = binary.AppendUvarint(out, uint64(number))
 	out = binary.AppendUvarint(out, rate)
@@ -115,7 +115,7 @@
 func (p *packed) limit() (number uint32, l ratelimit.Limit, age time.Duration) {
 	number = uint32(p.next(math.MaxUint32))
 	if rate := p.next(math.MaxUint32); rate > 0 {
-		l, _ = ratelimit.Named(float64(rate-1) / ratelimit.PartsPerSecond) // a whole number is a rate
+		l, _ = ratelimit.NewLimit(float64(rate-1) / ratelimit.StepsPerUnit) // a whole number is a rate
 	}
 	age = time.Duration(p.next(uint64(mostLimitAge/limitAgeUnit))) * limitAgeUnit
 	return number, l, age
--- a/core/counts/sender.go
+++ b/core/counts/sender.go
@@ -36,7 +36,7 @@
 	Row(slot int) (id string, row Row)
 	// Limit returns what the slot's server said last of its request rate; Since is zero
 	// when there is nothing to tell.
-	Limit(slot int) ratelimit.Statement
+	Limit(slot int) ratelimit.Announced
 	// Version returns another number whenever Row or Limit return something else than
 	// before, so that a slot in which nothing has happened costs next to nothing.
 	Version(slot int) uint64
@@ -197,7 +197,7 @@
 
 // limit packs what a slot's server said last, if that was not told, and returns the number
 // of limits.
-func (s *Sender) limit(out *[]byte, l ratelimit.Statement, t *told, now time.Time) int {
+func (s *Sender) limit(out *[]byte, l ratelimit.Announced, t *told, now time.Time) int {
 	if t.id == "" || l.Since.IsZero() || l.Since.Equal(t.limitSince) {
 		return 0
 	}
--- a/core/ratelimit/doc.go
+++ b/core/ratelimit/doc.go
@@ -1,16 +1,16 @@
-// Package ratelimit keeps to the request rates that backend servers ask for.
+// Package ratelimit enforces the request rates that backend servers announce.
 //
-// The load pattern it answers: a server in need names the requests a second that it takes
-// from all instances together, while hundreds of instances send to it. An instance that
-// takes the figure for itself overloads the server as many times as there are instances,
-// and one that rounds its share up does the same to a server that takes a few requests a
-// second.
+// An overloaded server announces how many requests per second it accepts from all
+// instances together, while hundreds of instances send to it. An instance that applied
+// the whole limit to itself would overload the server by a factor of the number of
+// instances, and so would rounding up the share of each instance at a server that
+// accepts a few requests per second.
 //
-// So each instance takes the part of the limit that the calls which come to it have among
-// the calls that come to all (Share), and turns it into tokens that are valid for a short
-// time (Bucket). Nobody has to be asked before a request is sent: the rates of calls come
-// with the load counts that instances exchange anyway, and so does what a server said last
-// (Statement). Where tokens are scarce, Queue orders the calls that wait for one.
+// Therefore each instance uses a part of the limit equal to its part of all incoming
+// calls (Share) and turns it into tokens that are valid for a short time (Bucket).
+// Sending a request needs no coordination: the call rates are part of the load counts
+// that instances exchange anyway, and so is the latest announcement of each server
+// (Announced). When tokens are scarce, Queue orders the calls that wait for one.
 //
-// The package is pure: the clock and chance are passed in.
+// The package does no I/O: time and random numbers are passed in.
 package ratelimit
--- a/core/ratelimit/queue.go
+++ b/core/ratelimit/queue.go
@@ -2,11 +2,11 @@
 
 // Waiter is a call that waits for a token.
 type Waiter struct {
-	// Rank orders waiters, 0 first; within a rank, those whose Late is unset go first:
-	// each token that a late call gets makes another one late.
+	// Rank orders waiters, 0 first. Within a rank, waiters that are not Late go first: a
+	// token given to a late call would make another call late.
 	Rank int
 	Late bool
-	// turn is the place in the order of joining, 0 before.
+	// turn is the position in the order of joining; 0 before joining.
 	turn uint64
 }
 
@@ -17,7 +17,8 @@
 	turns   uint64
 }
 
-// Join adds a waiter behind those of its rank. One that waits keeps its place.
+// Join adds a waiter behind those of its rank. A waiter that joins again keeps its
+// position.
 func (q *Queue) Join(w *Waiter) {
 	if q.waiting == nil {
 		q.waiting = map[*Waiter]struct{}{}
@@ -29,13 +30,13 @@
 	q.waiting[w] = struct{}{}
 }
 
-// Leave takes a waiter out; one that is not there is none.
+// Leave removes a waiter, if present.
 func (q *Queue) Leave(w *Waiter) { delete(q.waiting, w) }
 
-// Len returns how many wait.
+// Len returns the number of waiters.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Ahead counts the waiters that go before one, whether it has joined or not.
+// Ahead returns the number of waiters before the given one, which need not have joined.
 func (q *Queue) Ahead(w *Waiter) int {
 	n := 0
 	for x := range q.waiting {
--- a/core/ratelimit/ratelimit_test.go
+++ b/core/ratelimit/ratelimit_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bounds of a server's limit, from the platform's pages.
+// Limits on the requests that a server may receive, as documented by the platform.
 const (
 	window = 4 * time.Second
 	excess = 1.5
@@ -17,30 +17,31 @@
 
 func allowed(limit float64) int { return int(excess*limit*window.Seconds() + slack) }
 
-// replay sends calls for one server, which come to instances that hear of each other's
-// calls late.
+// replay simulates calls for one server that arrive at several instances, which learn of
+// each other's calls with a delay.
 type replay struct {
 	instances int
 	limit     float64
-	// skew of the calls come to one instance, which changes each moves; 0 for never.
+	// skew is the fraction of the calls that arrive at one instance; that instance
+	// changes after each period of moves, or never if it is 0.
 	skew  float64
 	moves time.Duration
-	// lag is how old the rates of others are.
+	// lag is the age of the known rates of others.
 	lag time.Duration
-	// gone is the part of the instances that ends in the middle, and whose calls come to
-	// the others from then on.
-	gone float64
+	// lost is the fraction of the instances that stop halfway; their calls then arrive
+	// at the others.
+	lost float64
 }
 
 const (
 	replayTime = 40 * time.Second
-	// learnTime passes before the server names its limit.
+	// learnTime passes before the server announces its limit.
 	learnTime = 5 * time.Second
-	// rateTime is the time constant of the rates.
+	// rateTime is the time constant of the rates, in seconds.
 	rateTime = 1.5
 )
 
-// instance is a replayed one.
+// instance is one simulated instance.
 type instance struct {
 	bucket Bucket
 	share  Share
@@ -57,39 +58,40 @@
 	in.at = now
 }
 
-// run returns the most requests within a window, and the part of the limit that was used.
+// run returns the largest number of requests within a window, and the used fraction of
+// the limit.
 func (r *replay) run(seed uint64) (most int, used float64) {
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	start := time.Unix(0, 0)
-	named := start.Add(learnTime)
+	announced := start.Add(learnTime)
 	list := make([]*instance, r.instances)
 	for i := range list {
-		list[i] = &instance{bucket: NewBucket(named, rnd.Float64())}
+		list[i] = &instance{bucket: NewBucket(announced, rnd.Float64())}
 	}
 	total := max(8, 3*r.limit)
 	var sent []time.Time
-	var sums []heardSum
+	var sums []rateSum
 	for at := time.Duration(0); at < replayTime; at += time.Duration(rnd.ExpFloat64() / total * float64(time.Second)) {
 		now := start.Add(at)
 		alive := r.instances
 		if at > replayTime/2 {
-			alive -= int(r.gone * float64(r.instances))
+			alive -= int(r.lost * float64(r.instances))
 		}
 		sum := 0.0
 		for _, in := range list[:alive] {
 			sum += in.rateAt(now)
 		}
-		sums = append(sums, heardSum{now, sum})
+		sums = append(sums, rateSum{now, sum})
 		for len(sums) > 1 && !sums[1].at.After(now.Add(-r.lag)) {
 			sums = sums[1:]
 		}
 		in := list[r.pick(rnd, at, alive)]
 		others := max(0, sums[0].sum-in.rateAt(sums[0].at))
 		in.arrive(now)
-		if now.Before(named) {
+		if now.Before(announced) {
 			continue
 		}
-		share := in.share.Of(now, Known{Own: in.rateAt(now), Others: others, Heard: true, Instances: r.instances})
+		share := in.share.Of(now, CallRates{Own: in.rateAt(now), Others: others, OthersKnown: true, Instances: r.instances})
 		if in.bucket.Take(now, Limit{true, r.limit}.Rate(share)) {
 			sent = append(sent, now)
 		}
@@ -104,7 +106,7 @@
 	return most, float64(len(sent)) / (r.limit * (replayTime - learnTime).Seconds())
 }
 
-type heardSum struct {
+type rateSum struct {
 	at  time.Time
 	sum float64
 }
@@ -119,8 +121,8 @@
 	return int(at/r.moves) % alive
 }
 
-// Any number of instances together must not send a server more than it names, wherever the
-// calls come, and must not leave it unused.
+// All instances together must not send a server more than its limit, however the calls
+// are distributed, and must not leave the limit unused.
 func TestInstancesTogetherKeepToALimit(t *testing.T) {
 	const seeds = 4
 	const leastUsed = 0.45
@@ -130,7 +132,7 @@
 				"even":      {},
 				"one":       {skew: 0.9},
 				"moving":    {skew: 0.9, moves: 5 * time.Second},
-				"half gone": {gone: 0.5},
+				"half lost": {lost: 0.5},
 			} {
 				t.Run(fmt.Sprintf("%d instances, %g a second, %s", instances, limit, name), func(t *testing.T) {
 					r.instances, r.limit, r.lag = instances, limit, 400*time.Millisecond
@@ -149,7 +151,7 @@
 	}
 }
 
-// Tokens that nobody used must not add up to a burst.
+// Unused tokens must not accumulate to a burst.
 func TestUnusedTokensExpire(t *testing.T) {
 	now := time.Unix(0, 0)
 	for _, rate := range []float64{0.01, 0.9, 3, 1000} {
@@ -160,105 +162,107 @@
 			n++
 		}
 		if most := 1 + int(rate*tokenTime.Seconds()); n > most {
-			t.Errorf("at %g a second %d tokens were there after an hour; at most %d may", rate, n, most)
+			t.Errorf("at %g a second %d tokens are available after an hour, want at most %d", rate, n, most)
 		}
 	}
 }
 
-func TestTokensComeWhenTheyAreSaidTo(t *testing.T) {
+func TestTokensArriveAtPredictedTime(t *testing.T) {
 	now := time.Unix(0, 0)
 	for _, rate := range []float64{0.02, 0.5, 7} {
 		b := NewBucket(now, 0.25)
-		wait := b.Until(now, rate)
+		wait := b.TimeUntil(now, rate)
 		if b.Take(now.Add(wait*9/10), rate) {
-			t.Errorf("at %g a second a token is there before its time", rate)
+			t.Errorf("at %g a second a token is available too early", rate)
 		}
 		if !b.Take(now.Add(wait+time.Millisecond), rate) {
-			t.Errorf("at %g a second no token is there after %v", rate, wait)
+			t.Errorf("at %g a second no token is available after %v", rate, wait)
 		}
 	}
-	if b := NewBucket(now, 0); b.Until(now, 0) != longest {
-		t.Errorf("without a rate a token is to come in %v", b.Until(now, 0))
+	if b := NewBucket(now, 0); b.TimeUntil(now, 0) != maxRefillTime {
+		t.Errorf("with rate 0 the time until a token is %v", b.TimeUntil(now, 0))
 	}
 }
 
-// An instance that does not know what comes to the others takes an even part; one that is
-// cut off does not take the whole limit at once.
-func TestShareOfAnInstanceThatHearsOfNobody(t *testing.T) {
+// An instance that doesn't know the call rates of others takes an equal share. One that
+// is cut off must not take the whole limit at once.
+func TestShareWithoutReportsOfOthers(t *testing.T) {
 	now := time.Unix(0, 0)
 	var s Share
-	if got := s.Of(now, Known{Own: 10, Instances: 4}); got != 0.25 {
+	if got := s.Of(now, CallRates{Own: 10, Instances: 4}); got != 0.25 {
 		t.Errorf("share %g of four instances", got)
 	}
-	if got := s.Of(now, Known{Own: 10, Instances: 1}); got != 1 {
-		t.Errorf("share %g of an instance that is alone", got)
+	if got := s.Of(now, CallRates{Own: 10, Instances: 1}); got != 1 {
+		t.Errorf("share %g of a single instance", got)
 	}
-	if got := s.Of(now, Known{Own: 10, Others: 30, Heard: true, Instances: 4}); got != 0.25 {
+	if got := s.Of(now, CallRates{Own: 10, Others: 30, OthersKnown: true, Instances: 4}); got != 0.25 {
 		t.Errorf("share %g of a quarter of the calls", got)
 	}
-	if got := s.Of(now.Add(time.Second), Known{Own: 10, Heard: true, Instances: 4}); got > 0.4 {
-		t.Errorf("share %g one second after the others fell silent", got)
+	if got := s.Of(now.Add(time.Second), CallRates{Own: 10, OthersKnown: true, Instances: 4}); got > 0.4 {
+		t.Errorf("share %g one second after the last report of others", got)
 	}
-	if got := s.Of(now.Add(30*time.Second), Known{Own: 10, Heard: true, Instances: 4}); got < 0.99 {
-		t.Errorf("share %g long after the others fell silent", got)
+	if got := s.Of(now.Add(30*time.Second), CallRates{Own: 10, OthersKnown: true, Instances: 4}); got < 0.99 {
+		t.Errorf("share %g long after the last report of others", got)
 	}
-	for _, nonsense := range []float64{math.NaN(), math.Inf(1), -1} {
-		if got := new(Share).Of(now, Known{Own: 10, Others: nonsense, Heard: true, Instances: 4}); got != 1 {
-			t.Errorf("share %g when others tell of %g calls a second", got, nonsense)
+	for _, invalid := range []float64{math.NaN(), math.Inf(1), -1} {
+		if got := new(Share).Of(now, CallRates{Own: 10, Others: invalid, OthersKnown: true, Instances: 4}); got != 1 {
+			t.Errorf("share %g when others report %g calls a second", got, invalid)
 		}
 	}
-	if got := s.Of(now, Known{Heard: true, Instances: 4}); got != 0 {
+	if got := s.Of(now, CallRates{OthersKnown: true, Instances: 4}); got != 0 {
 		t.Errorf("share %g without calls", got)
 	}
 }
 
-// A limit of nothing must not keep the instances from hearing that it has ended.
-func TestLimitOfNothingIsAskedAboutNowAndThen(t *testing.T) {
-	l, _ := Named(0)
-	if got := l.Rate(0.5); got != 0.5*leastPerSecond {
+// With a limit of zero, occasional requests must still be sent, as a response is the
+// only way to learn that the limit has ended.
+func TestZeroLimitKeepsMinimumRate(t *testing.T) {
+	l, _ := NewLimit(0)
+	if got := l.Rate(0.5); got != 0.5*minPerSecond {
 		t.Errorf("rate %g", got)
 	}
 }
 
-// Words that instances tell each other must not go round for ever, and a late one must
-// not replace a newer one.
-func TestLaterWordHolds(t *testing.T) {
+// Announcements that instances exchange must not circulate forever, and an older one
+// must not replace a newer one.
+func TestLaterAnnouncementWins(t *testing.T) {
 	now := time.Unix(100, 0)
-	three, _ := Named(3)
-	var s Statement
-	if !s.Hear(now, three) || s.Hear(now.Add(time.Second), three) {
-		t.Error("a word is new once")
+	three, _ := NewLimit(3)
+	var s Announced
+	if !s.Observe(now, three) || s.Observe(now.Add(time.Second), three) {
+		t.Error("the same announcement must be reported as changed only once")
 	}
-	if s.Adopt(now.Add(2*time.Second), Limit{}, 1500*time.Millisecond) {
-		t.Error("an older word replaced a newer one")
+	if s.Merge(now.Add(2*time.Second), Limit{}, 1500*time.Millisecond) {
+		t.Error("an older announcement replaced a newer one")
 	}
-	if s.Adopt(now.Add(2*time.Second), three, 0) {
-		t.Error("the same word counts as another one")
+	if s.Merge(now.Add(2*time.Second), three, 0) {
+		t.Error("the same announcement was reported as changed")
 	}
-	if !s.Adopt(now.Add(3*time.Second), Limit{}, 100*time.Millisecond) || s.Named {
-		t.Errorf("a newer word was left: %+v", s)
+	if !s.Merge(now.Add(3*time.Second), Limit{}, 100*time.Millisecond) || s.Limited {
+		t.Errorf("a newer announcement was ignored: %+v", s)
 	}
-	// Two instances that have heard two words at the same time.
-	a, b := Statement{}, Statement{}
-	a.Hear(now, three)
-	b.Hear(now, Limit{Named: true, PerSecond: 4})
+	// Two instances receive different announcements at the same time.
+	a, b := Announced{}, Announced{}
+	a.Observe(now, three)
+	b.Observe(now, Limit{Limited: true, PerSecond: 4})
 	changes := 0
 	for i := range 10 {
 		at := now.Add(time.Duration(i+1) * 20 * time.Millisecond)
-		ofA := a
-		if a.Adopt(at, b.Limit, at.Add(-10*time.Millisecond).Sub(b.Since)) {
+		limitOfA := a
+		if a.Merge(at, b.Limit, at.Add(-10*time.Millisecond).Sub(b.Since)) {
 			changes++
 		}
-		if b.Adopt(at, ofA.Limit, at.Add(-10*time.Millisecond).Sub(ofA.Since)) {
+		if b.Merge(at, limitOfA.Limit, at.Add(-10*time.Millisecond).Sub(limitOfA.Since)) {
 			changes++
 		}
 	}
 	if changes > 1 {
-		t.Errorf("two words replaced each other %d times", changes)
+		t.Errorf("two announcements replaced each other %d times", changes)
 	}
 }
 
-// What ranks higher takes the next token, and a late call none that one in time could use.
+// The highest rank takes the next token; within a rank, a late call comes after those
+// that are in time.
 func TestQueueOrder(t *testing.T) {
 	var q Queue
 	late := &Waiter{Rank: 1, Late: true}
@@ -273,7 +277,7 @@
 		}
 	}
 	if got := q.Ahead(&Waiter{Rank: 1}); got != 1 {
-		t.Errorf("a newcomer has %d ahead, want the one in time", got)
+		t.Errorf("a newcomer has %d ahead, want 1", got)
 	}
 	if got := q.Ahead(&Waiter{}); got != 0 {
 		t.Errorf("a newcomer of the highest rank has %d ahead", got)
@@ -281,6 +285,6 @@
 	q.Join(inTime)
 	q.Leave(inTime)
 	if q.Ahead(late) != 0 || q.Len() != 2 {
-		t.Errorf("%d wait, %d of them before the late one", q.Len(), q.Ahead(late))
+		t.Errorf("%d waiters, %d ahead of the late one", q.Len(), q.Ahead(late))
 	}
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides whether a failed attempt may be repeated and when. A
-// budget per pool keeps retries a small part of the traffic, so that a failing
-// pool is not buried under repeated calls.
+// Package retry decides whether a failed attempt may be repeated and when. A budget per
+// pool limits retries to a small part of the traffic, so that retries don't add to the
+// overload of a failing pool.
 package retry
 
 import (
@@ -17,12 +17,12 @@
 	MaxAttempts    = 4
 )
 
-// Budget allows one retry per 1/Ratio first attempts, plus a reserve for
-// quiet times. Not safe for concurrent use.
+// Budget allows one retry per 1/Ratio first attempts, plus a reserve for times of low
+// traffic. Not safe for concurrent use.
 type Budget struct {
 	// Ratio is the number of retries earned by one first attempt.
 	Ratio float64
-	// Reserve is the most that may be saved up.
+	// Reserve is the largest number of unused retries that is kept.
 	Reserve float64
 	tokens  float64
 }
@@ -32,10 +32,10 @@
 	return &Budget{Ratio: ratio, Reserve: reserve, tokens: reserve}
 }
 
-// Attempt notes a first attempt.
-func (b *Budget) Attempt() { b.tokens = math.Min(b.Reserve, b.tokens+b.Ratio) }
+// RecordAttempt records a first attempt.
+func (b *Budget) RecordAttempt() { b.tokens = math.Min(b.Reserve, b.tokens+b.Ratio) }
 
-// Take spends one retry and reports whether there was one left.
+// Take spends one retry and reports whether one was available.
 func (b *Budget) Take() bool {
 	if b.tokens < 1 {
 		return false
@@ -44,27 +44,27 @@
 	return true
 }
 
-// Backoff returns the wait before the given attempt (2 is the first retry),
-// with full jitter; random is uniform in [0, 1).
+// Backoff returns the delay before the given attempt (2 is the first retry), with full
+// jitter; random is uniform in [0, 1).
 func Backoff(attempt int, random float64) time.Duration {
 	d := float64(BackoffBase) * math.Pow(2, float64(max(0, attempt-2)))
 	return time.Duration(random * math.Min(d, float64(BackoffMax)))
 }
 
-// Failure is what is known about a failed attempt.
+// Failure classifies a failed attempt by whether the call may have run.
 type Failure uint8
 
 // Kinds of failures.
 const (
-	// FailureNotSent: no byte reached the server, or the server said that it
-	// did not start the call.
+	// FailureNotSent: no byte reached the server, or the server reported that it did not
+	// start the call.
 	FailureNotSent Failure = iota + 1
 	// FailureUncertain: the call may have run.
 	FailureUncertain
 )
 
-// Allowed reports whether a call may be attempted again after a failure. A
-// call that is not idempotent may only when it certainly did not run.
+// Allowed reports whether a call may be attempted again after a failure. A call that is
+// not idempotent is repeated only if it certainly did not run.
 func Allowed(f Failure, idempotent bool, attempt int) bool {
 	if attempt >= MaxAttempts {
 		return false
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// All servers of a pool refuse: every call would like to be sent again. The
-// repeats of all instances in any window stay below the ratio and the slack.
-func TestWindowBoundsRepeatsInAnySpan(t *testing.T) {
+// All servers of a pool refuse, so every call is to be retried. The retries of all
+// instances must stay within ratio and slack in any window.
+func TestWindowBoundsRetriesInAnySpan(t *testing.T) {
 	const instances, slack, ratio = 6, 58.0, 0.2
 	span := 10 * time.Second
 	rnd := rand.New(rand.NewSource(1))
@@ -17,38 +17,38 @@
 		windows[i] = &Window{Span: span, Ratio: ratio, Slack: slack}
 	}
 	type event struct {
-		at     time.Duration
-		repeat bool
+		at    time.Duration
+		retry bool
 	}
 	var events []event
 	start := time.Unix(1_800_000_000, 0)
 	for at := time.Duration(0); at < 40*time.Second; at += time.Duration(rnd.ExpFloat64() * float64(10*time.Millisecond)) {
 		w := windows[rnd.Intn(instances)]
-		w.Call(start.Add(at))
+		w.RecordAttempt(start.Add(at))
 		events = append(events, event{at, false})
 		if w.Take(start.Add(at), instances) {
 			events = append(events, event{at, true})
 		}
 	}
 	for i := range events {
-		calls, repeats := 0.0, 0.0
+		calls, retries := 0.0, 0.0
 		for _, e := range events[i:] {
 			if e.at > events[i].at+span {
 				break
 			}
-			if e.repeat {
-				repeats++
+			if e.retry {
+				retries++
 			} else {
 				calls++
 			}
 		}
-		if repeats > ratio*calls+slack {
-			t.Fatalf("%.0f repeats for %.0f calls in the window from %v", repeats, calls, events[i].at)
+		if retries > ratio*calls+slack {
+			t.Fatalf("%.0f retries for %.0f calls in the window from %v", retries, calls, events[i].at)
 		}
 	}
 }
 
-func TestWindowForgetsOldRepeats(t *testing.T) {
+func TestWindowDropsOldRetries(t *testing.T) {
 	w := &Window{Span: time.Second, Slack: 5}
 	now := time.Unix(1_800_000_000, 0)
 	taken := 0
@@ -56,9 +56,9 @@
 		taken++
 	}
 	if taken == 0 || taken > 5 {
-		t.Fatalf("took %d of a slack of 5", taken)
+		t.Fatalf("took %d retries with a slack of 5", taken)
 	}
 	if !w.Take(now.Add(2*time.Second), 1) {
-		t.Error("the slack has not come back")
+		t.Error("the slack is not available again after the window")
 	}
 }
--- a/ctl/prove/red.sh
+++ b/ctl/prove/red.sh
@@ -50,7 +50,7 @@
 broken forgets-early        core/state/calls.go            's/return k\.Millis < now-Retention\.Milliseconds\(\) \|\| /return /' core TestKeysAreForgottenOnlyWhenRefused
 broken announced-limit-unread core/dispatch/grant.go       's/ \|\| !s\.allows\(now\)//'                                prove  TestAnnouncedLimitHoldsOverAllInstances
 broken whole-limit-each     core/ratelimit/share.go        's/return k\.Own \/ \(k\.Own \+ s\.others\)/return 1/'          core   TestInstancesTogetherKeepToALimit
-broken tokens-add-up        core/ratelimit/bucket.go       's/if b\.credit > most/if false/'                             core   TestInstancesTogetherKeepToALimit
+broken tokens-add-up        core/ratelimit/bucket.go       's/if b\.credit > maxCredit/if false/'                        core   TestInstancesTogetherKeepToALimit
 broken sheds-upward         core/dispatch/pool.go          's/lower\.policy\.Tier <= c\.policy\.Tier/false/'               core   TestNeverShedsSameOrHigherTier
 broken no-shares            core/dispatch/grant.go         's/if c\.granted < c\.policy\.Share\*total/if false/'            core   TestEveryClassRuns
 broken refuses-unwaited     core/dispatch/pool.go          's/maxFirstTokenEst = 0\.5/maxFirstTokenEst = 5/'              core   TestGivesUpOnlyForWaiting
--- a/daemon/entry/attempt.go
+++ b/daemon/entry/attempt.go
@@ -195,7 +195,7 @@
 func (e *Entry) try(ctx context.Context, c *call, t *backend.Target, slot scheduler.Slot, out *sink) (*reply, *backend.CallError) {
 	b, unlock := e.budget(c.pool)
 	if t.Attempt == 1 {
-		b.Attempt()
+		b.RecordAttempt()
 	}
 	unlock()
 	if c.kind == bundle.PoolService {
--- a/daemon/routed_metrics.go
+++ b/daemon/routed_metrics.go
@@ -90,7 +90,7 @@
 			fmt.Fprintf(w, "cardamomwick_server_failure_share%s %g\n", labels, b.Failures)
 			fmt.Fprintf(w, "cardamomwick_server_slowness%s %g\n", labels, b.Slowness)
 			fmt.Fprintf(w, "cardamomwick_server_long_prompts%s %g\n", labels, number(b.Long))
-			if b.Limit.Named {
+			if b.Limit.Limited {
 				fmt.Fprintf(w, "cardamomwick_server_limit_per_second%s %g\n", labels, b.Limit.PerSecond)
 				fmt.Fprintf(w, "cardamomwick_server_limit_share_per_second%s %g\n", labels, b.LimitRate)
 				fmt.Fprintf(w, "cardamomwick_server_limited_requests%s %d\n", labels, b.LimitSent)
--- a/daemon/routed_pages.go
+++ b/daemon/routed_pages.go
@@ -82,7 +82,7 @@
 	page := api.LimitsPage{Limits: []api.ServerLimit{}, Waiting: d.router.WaitingForLimits()}
 	for pool, list := range d.router.Beliefs() {
 		for _, b := range list {
-			if b.Limit.Named {
+			if b.Limit.Limited {
 				page.Limits = append(page.Limits, api.ServerLimit{Pool: pool, Server: b.ID, PerSecond: b.Limit.PerSecond,
 					Since: b.LimitSince, Share: b.LimitRate, Sent: b.LimitSent})
 			}
--- a/daemon/router/call.go
+++ b/daemon/router/call.go
@@ -164,7 +164,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.Arrive(now, c.pool.Name, c.size)
-	r.budget(c.pool.Name).Call(now)
+	r.budget(c.pool.Name).RecordAttempt(now)
 }
 
 // attempt sends the call to one server and passes its answer on.
--- a/daemon/router/limit.go
+++ b/daemon/router/limit.go
@@ -49,7 +49,7 @@
 	r.mu.Unlock()
 	for _, x := range changes {
 		entry := log.WithFields(log.Fields{"step": "read limit", "server": x.Server, "pool": x.Pool, "told_by": x.From})
-		if x.Named {
+		if x.Limited {
 			entry.WithField("per_second", x.PerSecond).Info("server names a request limit")
 		} else {
 			entry.Info("server names no request limit any more")
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -46,7 +46,7 @@
 	a := upstream.Answer{CallID: h.Get("Call"), Signed: h.Get("Signature") != "", NotRun: h.Get("Not-Run") != "", WrongServer: status == http.StatusMisdirectedRequest}
 	if word := h.Get("Limit"); word != "" {
 		perSecond, err := strconv.ParseFloat(word, 64)
-		a.Limit, a.BadLimit = ratelimit.Limit{Named: err == nil, PerSecond: perSecond}, err != nil
+		a.Limit, a.BadLimit = ratelimit.Limit{Limited: err == nil, PerSecond: perSecond}, err != nil
 	}
 	return a
 }
