--- a/core/balance/demand.go
+++ b/core/balance/demand.go
@@ -20,7 +20,7 @@
 	for _, s := range p.servers {
 		d.Running += s.load().Running
 	}
-	d.Withheld = b.withheld(now, p, poolName)
+	d.RateLimited = b.withheld(now, p, poolName)
 	return d
 }
 
--- a/core/balance/limit_test.go
+++ b/core/balance/limit_test.go
@@ -170,14 +170,14 @@
 		now = now.Add(time.Second / 12)
 		b.Arrive(now, "p", plain)
 	}
-	if d := b.Demand(now, "p"); d.Withheld != 0 {
-		t.Errorf("%g servers withheld without limits", d.Withheld)
+	if d := b.Demand(now, "p"); d.RateLimited != 0 {
+		t.Errorf("%g servers withheld without limits", d.RateLimited)
 	}
 	b.HeardLimit(now, list[0].ID, perSecond(0.5))
 	b.HeardLimit(now, list[1].ID, perSecond(0))
 	b.HeardLimit(now, list[2].ID, perSecond(50))
-	if d := b.Demand(now, "p"); d.Withheld < 1.4 || d.Withheld > 1.6 || d.Servers() < d.Withheld {
-		t.Errorf("%g servers withheld, want 1.5", d.Withheld)
+	if d := b.Demand(now, "p"); d.RateLimited < 1.4 || d.RateLimited > 1.6 || d.Servers() < d.RateLimited {
+		t.Errorf("%g servers withheld, want 1.5", d.RateLimited)
 	}
 }
 
--- a/core/capacity/demand.go
+++ b/core/capacity/demand.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Demand is what the calls for a pool ask of its servers, as one entry knows it.
+// Demand is the server capacity that the calls for a pool need, as seen by one entry.
 type Demand struct {
 	Pool string `msgpack:"p"`
-	// Short and Long are how many servers the short calls and the long prompts need, by
-	// what arrives, runs and waits.
+	// Short and Long are the numbers of servers needed for short calls and for long
+	// prompts, computed from arriving, running and waiting calls.
 	Short float64 `msgpack:"s"`
 	Long  float64 `msgpack:"l"`
-	// Running are the calls that run or wait at servers.
+	// Running is the number of calls that run or wait at servers.
 	Running int `msgpack:"r"`
-	// Withheld is how many of the servers that are there their request limits keep from
-	// work: two that take half of what others get count as one.
-	Withheld float64 `msgpack:"w,omitempty"`
+	// RateLimited is the capacity lost to the request limits of servers, in servers: two
+	// that take half of the load of others count as one.
+	RateLimited float64 `msgpack:"w,omitempty"`
 }
 
-// Servers is how many servers are needed altogether.
-func (d *Demand) Servers() float64 { return d.Short + d.Long + d.Withheld }
+// Servers returns the total number of servers needed.
+func (d *Demand) Servers() float64 { return d.Short + d.Long + d.RateLimited }
 
-// demandTime is how long a word on the demand counts: two of the times between two.
-const demandTime = 2500 * time.Millisecond
+// demandTTL is how long a reported demand is valid: two report intervals.
+const demandTTL = 2500 * time.Millisecond
 
-// Demands keeps the latest word on each pool's demand. The zero value is empty; not safe
-// for concurrent use.
+// Demands holds the latest reported demand of each pool. The zero value is empty; not
+// safe for concurrent use.
 type Demands struct {
 	list map[string]datedDemand
 }
@@ -33,8 +33,8 @@
 	at time.Time
 }
 
-// Take takes what an entry tells.
-func (d *Demands) Take(now time.Time, list []Demand) {
+// Update stores the demands reported by an entry.
+func (d *Demands) Update(now time.Time, list []Demand) {
 	if d.list == nil {
 		d.list = map[string]datedDemand{}
 	}
@@ -43,11 +43,11 @@
 	}
 }
 
-// Fresh returns what still counts.
+// Fresh returns the demands that are still valid and drops the others.
 func (d *Demands) Fresh(now time.Time) []Demand {
 	var out []Demand
 	for pool, x := range d.list {
-		if now.Sub(x.at) > demandTime {
+		if now.Sub(x.at) > demandTTL {
 			delete(d.list, pool)
 			continue
 		}
--- a/core/capacity/need.go
+++ b/core/capacity/need.go
@@ -11,91 +11,94 @@
 	case in.Scaling.ReclaimablePrice <= 0:
 		return 1
 	case zones < 2:
-		return 2 // the other half is to be regular ones by the time they are needed
+		return 2 // the other half is to be regular servers by the time they are needed
 	}
 	return zones / (zones - 1)
 }
 
-// note takes what is seen.
-func (p *Planner) note(now time.Time, in *Input) {
+// observe updates the planner's state from the input.
+func (p *Planner) observe(now time.Time, in *Input) {
 	for _, z := range in.Zones {
 		if z.ReclaimableLeaving > p.leaving[z.Name] {
-			// What was ordered is being taken away.
-			if o := p.orders[Subject{in.Pool, z.Name, true}]; o != nil && o.count > z.Reclaimable {
+			// Ordered servers are being taken away, so that a new order may be given at
+			// once.
+			if o := p.orders[ServerGroup{in.Pool, z.Name, true}]; o != nil && o.count > z.Reclaimable {
 				o.at = time.Time{}
 			}
 		}
 		p.leaving[z.Name] = z.ReclaimableLeaving
 	}
-	p.noteFirst(now, in)
+	p.observeInitial(now, in)
 	if in.Need < 0 {
 		return
 	}
-	if in.Need > 0 && p.learned.IsZero() {
-		p.learned = now
+	if in.Need > 0 && p.needKnown.IsZero() {
+		p.needKnown = now
 	}
 	if !p.needAt.IsZero() {
-		p.need *= faded(now.Sub(p.needAt), needTime)
-		p.present *= faded(now.Sub(p.needAt), presentTime)
+		p.need *= decay(now.Sub(p.needAt), needDecay)
+		p.presentNeed *= decay(now.Sub(p.needAt), presentNeedDecay)
 	}
-	p.need, p.present, p.needAt = max(p.need, in.Need), max(p.present, in.Need), now
+	p.need, p.presentNeed, p.needAt = max(p.need, in.Need), max(p.presentNeed, in.Need), now
 }
 
-// noteFirst notes how many servers there are that this planner has not ordered, until the
-// ordered ones take over; they announce themselves one after the other.
-func (p *Planner) noteFirst(now time.Time, in *Input) {
+// observeInitial determines the number of servers that this planner has not ordered,
+// until ordered ones take their place. Servers announce themselves one after the other.
+func (p *Planner) observeInitial(now time.Time, in *Input) {
 	regular, reclaimable := 0, 0
 	for _, z := range in.Zones {
 		regular += z.Regular
 		reclaimable += z.Reclaimable
 	}
-	if p.since.IsZero() {
-		p.since = now
+	if p.started.IsZero() {
+		p.started = now
 	}
-	// Without any server for so long there are none, not only none that is known.
-	known := regular+reclaimable > 0 || p.successor || now.Sub(p.since) >= in.Scaling.Boot
-	if p.begun.IsZero() && known {
-		p.begun, p.foundReclaimable = now, reclaimable
+	// If no server was seen for the boot time, there are none; before that, they may
+	// only be unknown.
+	known := regular+reclaimable > 0 || p.successor || now.Sub(p.started) >= in.Scaling.BootTime
+	if p.firstPlan.IsZero() && known {
+		p.firstPlan, p.initialReclaimable = now, reclaimable
 	}
-	if p.begun.IsZero() || now.Sub(p.begun) >= in.Scaling.Boot {
+	if p.firstPlan.IsZero() || now.Sub(p.firstPlan) >= in.Scaling.BootTime {
 		return
 	}
 	if !p.successor {
-		p.first = max(p.first, regular+p.foundReclaimable)
+		p.initial = max(p.initial, regular+p.initialReclaimable)
 		return
 	}
 	ordered := 0
-	for _, o := range p.standing {
+	for _, o := range p.previous {
 		ordered += o.Count
 	}
-	p.first = max(p.first, int(math.Ceil(float64(ordered)/p.zoneLoss)))
+	p.initial = max(p.initial, int(math.Ceil(float64(ordered)/p.zoneLoss)))
 }
 
-func faded(d, constant time.Duration) float64 { return math.Exp(-d.Seconds() / constant.Seconds()) }
+func decay(d, constant time.Duration) float64 { return math.Exp(-d.Seconds() / constant.Seconds()) }
 
-// learning: the need has not been seen for long enough to go by it alone.
+// learning reports whether the need has been known for too short a time to rely on it
+// alone.
 func (p *Planner) learning(now time.Time) bool {
-	return p.learned.IsZero() || now.Sub(p.learned) < learnTime
+	return p.needKnown.IsZero() || now.Sub(p.needKnown) < learningTime
 }
 
-// enough is how many servers must be there now.
-func (p *Planner) enough(now time.Time) int {
-	enough := enoughShare * p.present
+// requiredNow returns how many servers must be present now.
+func (p *Planner) requiredNow(now time.Time) int {
+	required := requiredShare * p.presentNeed
 	if p.learning(now) {
-		enough = max(enough, float64(p.first))
+		required = max(required, float64(p.initial))
 	}
-	return int(math.Ceil(enough))
+	return int(math.Ceil(required))
 }
 
-// want is how many servers there should be altogether.
-func (p *Planner) want(now time.Time) int {
+// wanted returns how many servers there should be in total.
+func (p *Planner) wanted(now time.Time) int {
 	need := p.need
 	if p.learning(now) {
-		unknown := 1.0
+		factor := 1.0
 		if p.zoneLoss > 1 && !p.successor {
-			unknown = unknownNeed
+			factor = initialNeedFactor
 		}
-		need = max(need, unknown*float64(p.first))
+		need = max(need, factor*float64(p.initial))
 	}
 	return int(math.Ceil(p.policy.Reserve * need * p.zoneLoss))
 }
--- a/core/capacity/order.go
+++ b/core/capacity/order.go
@@ -1,34 +1,35 @@
-// Package capacity decides how many backend servers of which kind there should be in which
-// availability zone.
+// Package capacity decides how many backend servers of which kind each availability zone
+// should have.
 package capacity
 
 import "slices"
 
-// Subject is what one order is about.
-type Subject struct {
+// ServerGroup identifies the servers that an order is about.
+type ServerGroup struct {
 	Pool string `msgpack:"p"`
 	Zone string `msgpack:"z"`
-	// Reclaimable servers cost less and may be taken away, all of a zone at once.
+	// Reclaimable servers cost less. The provider may take them away, all of a zone at
+	// once.
 	Reclaimable bool `msgpack:"r,omitempty"`
 }
 
-// Order asks for a number of servers of a subject.
+// Order requests a number of servers for a server group.
 type Order struct {
-	Subject `msgpack:",inline"`
-	Count   int `msgpack:"n"`
+	ServerGroup `msgpack:",inline"`
+	Count       int `msgpack:"n"`
 }
 
-// Orders are the last order of each subject.
+// Orders holds the last order of each server group.
 type Orders []Order
 
-// keptOrders bounds the subjects remembered; the oldest go first.
-const keptOrders = 1024
+// maxOrders bounds the remembered server groups; the oldest are dropped first.
+const maxOrders = 1024
 
-// With returns the orders with a further one.
+// With returns a copy that includes the order and no earlier one for its group.
 func (o Orders) With(x Order) Orders {
-	out := slices.DeleteFunc(slices.Clone(o), func(old Order) bool { return old.Subject == x.Subject })
+	out := slices.DeleteFunc(slices.Clone(o), func(old Order) bool { return old.ServerGroup == x.ServerGroup })
 	out = append(out, x)
-	return out[max(0, len(out)-keptOrders):]
+	return out[max(0, len(out)-maxOrders):]
 }
 
 // Of returns the orders for a pool.
--- a/core/capacity/planner.go
+++ b/core/capacity/planner.go
@@ -5,134 +5,136 @@
 	"time"
 )
 
-// Policy is how many servers to keep for a demand.
+// Policy determines how many servers to keep for a demand.
 type Policy struct {
-	// Reserve is how many times the needed servers there should be after all of a zone have
-	// been taken away.
+	// Reserve is the ratio of available to needed servers that must remain after the
+	// loss of one zone.
 	Reserve float64
-	// Regular is the part of the needed servers that may not be reclaimable.
-	Regular float64
-	// MostPrice bounds what all servers of a pool cost, in regular servers of a zone with
-	// price 1; zero for no bound.
-	MostPrice float64
+	// RegularShare is the part of the needed servers that must not be reclaimable.
+	RegularShare float64
+	// MaxPrice bounds the cost of all servers of a pool, in regular servers of a zone
+	// with price 1; zero for no bound.
+	MaxPrice float64
 }
 
-// Limits of the planner.
+// Parameters of the planner.
 const (
-	// needTime is the time constant with which the highest need that was seen fades: bursts
-	// come again, and reclaimable servers that wait for the next one cost little.
-	needTime = 60 * time.Second
-	// presentTime is the time constant with which the present need fades, by which regular
-	// servers are kept in the place of others.
-	presentTime = 8 * time.Second
-	// unknownNeed is how many times the servers that were there first may be needed, until
-	// that is known: a burst that comes at once can't be foreseen, and reclaimable servers
-	// cost little for so long.
-	unknownNeed = 4.0 / 3
-	// learnTime is how long a need must have been seen before the servers become fewer
-	// than were there at first: until then the operator's own count stands.
-	learnTime = 10 * time.Second
-	// bootSlack is how much longer than announced a server may take to announce itself
-	// before it counts as missing: a heartbeat, and the provider's answer.
-	bootSlack = 2 * time.Second
-	// dryTime is the pause before a zone that has refused reclaimable servers is asked
-	// again: a quarter of the time that a server takes to serve.
-	dryTime = time.Second
-	// againAfter is the pause before an order that was not accepted is given again.
-	againAfter = 500 * time.Millisecond
-	// shrinkAfter is how long a number must have been too high before it is lowered, and
-	// shrinkPause the least time between two orders that lower the same number: parts of
-	// prompts are lost with each server.
-	shrinkAfter = 6 * time.Second
-	shrinkPause = 4 * time.Second
-	// mostLowered bounds by how much one order lowers a number: each server that leaves is
-	// an entry of the replicated log before it is acknowledged, and hundreds at once were
-	// acknowledged seconds late.
-	mostLowered = 32
-	// replacePause is the pause where others have come in their place: the time in which a
-	// server that leaves says so.
-	replacePause = 1500 * time.Millisecond
-	// shrinkSlack is the part of a number by which it may be too high for good.
-	shrinkSlack = 0.15
-	// enoughShare of the needed servers must be there or on the way; regular ones are
-	// ordered where reclaimable ones are not to be had.
-	enoughShare = 1.15
+	// needDecay is the time constant with which the highest observed need decays: bursts
+	// recur, and reclaimable servers kept for the next one cost little.
+	needDecay = 60 * time.Second
+	// presentNeedDecay is the time constant of the present need, which determines how
+	// many regular servers are kept until reclaimable ones replace them.
+	presentNeedDecay = 8 * time.Second
+	// initialNeedFactor is the assumed ratio of needed to initial servers until the need
+	// is known: an immediate burst can't be foreseen, and reclaimable servers cost
+	// little for that time.
+	initialNeedFactor = 4.0 / 3
+	// learningTime is how long the need must be known before the number of servers may
+	// fall below the initial one. Until then the operator's choice stands.
+	learningTime = 10 * time.Second
+	// bootMargin is added to the announced boot time before an ordered server counts as
+	// missing. It covers a heartbeat and the provider's response.
+	bootMargin = 2 * time.Second
+	// unavailableRetry is the pause before reclaimable servers are ordered again in a
+	// zone that has refused them: a quarter of a server's boot time.
+	unavailableRetry = time.Second
+	// orderRetry is the pause before an order that was not accepted is repeated.
+	orderRetry = 500 * time.Millisecond
+	// shrinkDelay is how long there must have been too many servers before their number
+	// is lowered, and shrinkInterval the minimum time between two such orders for one
+	// group: cached prompt prefixes are lost with each server.
+	shrinkDelay    = 6 * time.Second
+	shrinkInterval = 4 * time.Second
+	// maxDecrease bounds by how much one order lowers a number. Each departing server is
+	// an entry of the replicated log before it is acknowledged; with hundreds at once
+	// the acknowledgements took seconds.
+	maxDecrease = 32
+	// replaceInterval is the minimum time between two decreases of regular servers that
+	// others have replaced: the time a departing server takes to announce it.
+	replaceInterval = 1500 * time.Millisecond
+	// shrinkTolerance is the fraction by which a number may stay too high.
+	shrinkTolerance = 0.15
+	// requiredShare is the ratio of present or booting servers to needed ones. Below it,
+	// regular servers are ordered where reclaimable ones are unavailable.
+	requiredShare = 1.15
 )
 
-// Planner decides for one pool what to order. It goes by the servers that announce
-// themselves; its own orders only tell what may be on the way. Not safe for concurrent
-// use.
+// Planner decides which servers to order for one pool. It relies on the servers that
+// announce themselves; its own orders only tell which servers may be booting. Not safe
+// for concurrent use.
 type Planner struct {
 	policy Policy
-	// first is how many servers there were before any was ordered, or those that an
-	// earlier holder has left enough of after the loss of a zone.
-	first int
-	// standing are the orders of an earlier holder, which are given once more: that ends
-	// what it has on its way. successor: there were such.
-	standing  Orders
+	// initial is the number of servers before any was ordered. After a change of the
+	// duty's holder it is the number that the previous orders leave after the loss of a
+	// zone.
+	initial int
+	// previous holds the orders of the previous holder. They are repeated once, which
+	// makes the provider reject orders of that holder that are still in transit.
+	// successor is set if there were any.
+	previous  Orders
 	successor bool
-	// leaving is how many servers of each zone said they leave, when last seen.
+	// leaving is the last seen number of departing servers of each zone.
 	leaving map[string]int
-	// need fades from the highest that was seen; known since learned.
-	need    float64
-	present float64
-	needAt  time.Time
-	learned time.Time
-	orders  map[Subject]*sent
-	// dry is until when a zone that has refused reclaimable servers is not asked for more;
-	// it has a time, past or not, until the zone gives some.
-	dry map[string]time.Time
-	// since is when the planner was first asked.
-	since time.Time
-	// begun is when the first plan was made, foundReclaimable how many reclaimable servers
-	// there were then.
-	begun            time.Time
-	foundReclaimable int
-	// zoneLoss is how many times the servers there must be so that enough are left when a
-	// zone has lost all of its reclaimable ones.
+	// need decays from the highest observed need; needKnown is when it was first known.
+	need        float64
+	presentNeed float64
+	needAt      time.Time
+	needKnown   time.Time
+	orders      map[ServerGroup]*orderState
+	// unavailable holds the end of the retry pause of each zone that has refused
+	// reclaimable servers. The entry stays until the zone provides some.
+	unavailable map[string]time.Time
+	// started is when the planner was first called.
+	started time.Time
+	// firstPlan is the time of the first plan, initialReclaimable the number of
+	// reclaimable servers then.
+	firstPlan          time.Time
+	initialReclaimable int
+	// zoneLoss is the ratio of servers to order to servers needed, so that enough remain
+	// when one zone loses all its reclaimable servers.
 	zoneLoss float64
 }
 
-// sent is the last order of a subject.
-type sent struct {
+// orderState is the state of the last order for a server group.
+type orderState struct {
 	count int
 	at    time.Time
-	// accepted: the provider will carry it out.
+	// accepted is set if the provider will execute the order.
 	accepted bool
-	// highSince is when the subject's servers were first too many; zero otherwise.
+	// highSince is when the group first had too many servers; zero if it has not.
 	highSince time.Time
 }
 
-// NewPlanner returns a planner that has ordered nothing itself; standing are the orders of
-// earlier holders of the duty.
-func NewPlanner(p Policy, standing Orders) *Planner {
-	return &Planner{policy: p, standing: standing, successor: len(standing) > 0, leaving: map[string]int{}, orders: map[Subject]*sent{}, dry: map[string]time.Time{}}
+// NewPlanner returns a planner that has not ordered anything yet; previous holds the
+// orders of earlier holders of the duty.
+func NewPlanner(p Policy, previous Orders) *Planner {
+	return &Planner{policy: p, previous: previous, successor: len(previous) > 0, leaving: map[string]int{}, orders: map[ServerGroup]*orderState{}, unavailable: map[string]time.Time{}}
 }
 
-// Next returns the orders to give now.
+// Next returns the orders to send now.
 func (p *Planner) Next(now time.Time, in Input) []Order {
-	if len(in.Zones) == 0 || in.Scaling.Most <= 0 {
+	if len(in.Zones) == 0 || in.Scaling.Max <= 0 {
 		return nil
 	}
 	slices.SortFunc(in.Zones, func(a, b Zone) int { return compareZones(&in.Scaling, a.Name, b.Name) })
 	p.zoneLoss = zoneLoss(&in)
-	p.note(now, &in)
-	if p.begun.IsZero() {
-		return nil // nothing is known yet
+	p.observe(now, &in)
+	if p.firstPlan.IsZero() {
+		return nil // the existing servers are not known yet
 	}
 	targets := p.targets(now, &in)
 	var out []Order
 	for i, z := range in.Zones {
 		out = append(out, p.zoneOrders(now, &in, z, targets[i])...)
 	}
-	p.standing = nil
+	p.previous = nil
 	return out
 }
 
-// zoneOrders returns the orders for a zone, those that lower a number first: both kinds
-// together are bounded by what is ordered, not by what is there.
+// zoneOrders returns the orders for a zone, decreases first. The limit on both kinds
+// together applies to the ordered numbers, not to the present servers.
 func (p *Planner) zoneOrders(now time.Time, in *Input, z Zone, t target) []Order {
-	regular, reclaimable := Subject{in.Pool, z.Name, false}, Subject{in.Pool, z.Name, true}
+	regular, reclaimable := ServerGroup{in.Pool, z.Name, false}, ServerGroup{in.Pool, z.Name, true}
 	before := p.ordered(regular, z.Regular)
 	first := p.order(now, in, regular, t.regular, z.Regular)
 	if in.Scaling.ReclaimablePrice <= 0 {
@@ -142,7 +144,7 @@
 	if len(first) > 0 {
 		others = t.regular
 	}
-	t.reclaimable = max(0, min(t.reclaimable, in.Scaling.Most-others))
+	t.reclaimable = max(0, min(t.reclaimable, in.Scaling.Max-others))
 	second := p.order(now, in, reclaimable, t.reclaimable, z.Reclaimable)
 	if t.regular > before {
 		first, second = second, first
@@ -150,80 +152,82 @@
 	return append(first, second...)
 }
 
-// ordered is the number that stands of a subject: the last one accepted, or what is seen.
-func (p *Planner) ordered(s Subject, seen int) int {
+// ordered returns the last accepted number for a server group, or the number seen.
+func (p *Planner) ordered(s ServerGroup, seen int) int {
 	if o := p.orders[s]; o != nil && o.accepted {
 		return o.count
 	}
 	return seen
 }
 
-// booting is how many ordered servers may still come.
-func (p *Planner) booting(now time.Time, in *Input, s Subject, seen int) int {
+// booting returns how many ordered servers may still be booting.
+func (p *Planner) booting(now time.Time, in *Input, s ServerGroup, seen int) int {
 	o := p.orders[s]
-	if o == nil || !o.accepted || now.Sub(o.at) > in.Scaling.Boot+bootSlack {
+	if o == nil || !o.accepted || now.Sub(o.at) > in.Scaling.BootTime+bootMargin {
 		return 0
 	}
 	return max(0, o.count-seen)
 }
 
-// order returns the order of a subject, if one is due.
-func (p *Planner) order(now time.Time, in *Input, s Subject, want, seen int) []Order {
+// order returns the order for a server group if one is due.
+func (p *Planner) order(now time.Time, in *Input, s ServerGroup, want, seen int) []Order {
 	o := p.orders[s]
 	if o == nil {
-		o = &sent{count: -1}
+		o = &orderState{count: -1}
 		p.orders[s] = o
 	}
 	if !p.due(now, in, s, o, want, seen) {
 		return nil
 	}
-	return []Order{{s, max(want, seen-mostLowered)}}
+	return []Order{{s, max(want, seen-maxDecrease)}}
 }
 
-func (p *Planner) due(now time.Time, in *Input, s Subject, o *sent, want, seen int) bool {
-	if want >= seen || seen-want <= int(shrinkSlack*float64(want)) && want > 0 {
+func (p *Planner) due(now time.Time, in *Input, s ServerGroup, o *orderState, want, seen int) bool {
+	if want >= seen || seen-want <= int(shrinkTolerance*float64(want)) && want > 0 {
 		o.highSince = time.Time{}
 	} else if o.highSince.IsZero() {
 		o.highSince = now
 	}
 	switch {
-	case slices.ContainsFunc(p.standing, func(x Order) bool { return x.Subject == s }):
+	case slices.ContainsFunc(p.previous, func(x Order) bool { return x.ServerGroup == s }):
 		return true
-	case !o.accepted && now.Sub(o.at) < againAfter:
+	case !o.accepted && now.Sub(o.at) < orderRetry:
 		return false
 	case want > seen+p.booting(now, in, s, seen):
-		return !s.Reclaimable || !now.Before(p.dry[s.Zone])
+		return !s.Reclaimable || !now.Before(p.unavailable[s.Zone])
 	case o.highSince.IsZero():
 		return false
 	case !s.Reclaimable && in.Scaling.ReclaimablePrice > 0:
-		return now.Sub(o.at) >= replacePause
+		return now.Sub(o.at) >= replaceInterval
 	}
-	return now.Sub(o.highSince) >= shrinkAfter && now.Sub(o.at) >= shrinkPause
+	return now.Sub(o.highSince) >= shrinkDelay && now.Sub(o.at) >= shrinkInterval
 }
 
-// Given notes that an order was given; accepted: it will be carried out.
-func (p *Planner) Given(now time.Time, o Order, accepted bool) {
-	s := p.orders[o.Subject]
+// RecordResult records that an order was sent and whether the provider accepted it.
+func (p *Planner) RecordResult(now time.Time, o Order, accepted bool) {
+	s := p.orders[o.ServerGroup]
 	if s == nil {
-		s = &sent{}
-		p.orders[o.Subject] = s
+		s = &orderState{}
+		p.orders[o.ServerGroup] = s
 	}
 	s.count, s.at, s.accepted = o.Count, now, accepted
 	s.highSince = time.Time{}
 	if o.Reclaimable && accepted && o.Count > 0 {
-		delete(p.dry, o.Zone)
+		delete(p.unavailable, o.Zone)
 	}
 }
 
-// Dry notes that a zone has no reclaimable servers.
-func (p *Planner) Dry(now time.Time, zone string) { p.dry[zone] = now.Add(dryTime) }
+// MarkUnavailable records that a zone has no reclaimable servers.
+func (p *Planner) MarkUnavailable(now time.Time, zone string) {
+	p.unavailable[zone] = now.Add(unavailableRetry)
+}
 
-// Status is what the planner goes by, for logs and metrics.
+// Status is the planner's state for logs and metrics.
 type Status struct {
-	// Need is the highest need that was seen lately, Want how many servers there should be.
+	// Need is the recent highest need, Want the number of servers there should be.
 	Need float64
 	Want int
 }
 
-// Status returns what the planner goes by.
-func (p *Planner) Status(now time.Time) Status { return Status{p.need, p.want(now)} }
+// Status returns the planner's state.
+func (p *Planner) Status(now time.Time) Status { return Status{p.need, p.wanted(now)} }
--- a/core/capacity/scaling.go
+++ b/core/capacity/scaling.go
@@ -4,39 +4,40 @@
 	"time"
 )
 
-// Scaling is what may be ordered for a pool, as operators declare it.
+// Scaling limits what may be ordered for a pool, as declared by operators.
 type Scaling struct {
-	// Least and Most bound the servers of both kinds together in each zone.
-	Least int `msgpack:"l"`
-	Most  int `msgpack:"m"`
-	// Boot is how long a new server takes before it serves.
-	Boot time.Duration `msgpack:"b"`
-	// ReclaimablePrice is the price of a reclaimable server against a regular one; zero
-	// where there are none.
+	// Min and Max bound the servers of both kinds together in each zone.
+	Min int `msgpack:"l"`
+	Max int `msgpack:"m"`
+	// BootTime is the time from the order of a server until it takes work.
+	BootTime time.Duration `msgpack:"b"`
+	// ReclaimablePrice is the price of a reclaimable server relative to a regular one;
+	// zero if there are no reclaimable servers.
 	ReclaimablePrice float64 `msgpack:"r"`
-	// ZonePrices are the prices of a server in each zone.
+	// ZonePrices holds the price of a server in each zone.
 	ZonePrices map[string]float64 `msgpack:"z"`
 }
 
-// Zone is what is seen in one availability zone.
+// Zone is the observed state of one availability zone.
 type Zone struct {
 	Name string
-	// Regular and Reclaimable are the servers that take work.
+	// Regular and Reclaimable are the numbers of servers that take work.
 	Regular, Reclaimable int
-	// RegularLeaving and ReclaimableLeaving are the servers that say they leave.
+	// RegularLeaving and ReclaimableLeaving are the numbers of servers that have
+	// announced their departure.
 	RegularLeaving, ReclaimableLeaving int
 }
 
-// ready is how many servers take work.
+// ready returns how many servers take work.
 func (z *Zone) ready() int { return z.Regular + z.Reclaimable }
 
-// Input is what a plan is made from.
+// Input is the information a plan is based on.
 type Input struct {
 	Pool    string
 	Scaling Scaling
-	// Zones are those where the pool has servers or may have them.
+	// Zones lists the zones in which the pool has servers or may have them.
 	Zones []Zone
-	// Need is how many servers the calls need, negative while unknown.
+	// Need is the number of servers that the calls need, negative while unknown.
 	Need float64
 }
 
@@ -51,7 +52,8 @@
 	return 1
 }
 
-// Price is what the servers of a zone cost, in regular servers of a zone with price 1.
+// Price returns the cost of the servers of a zone, in regular servers of a zone with
+// price 1.
 func (s *Scaling) Price(z Zone) float64 {
 	return s.price(z.Name) * (float64(z.Regular) + s.ReclaimablePrice*float64(z.Reclaimable))
 }
--- a/core/capacity/targets.go
+++ b/core/capacity/targets.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// target is how many servers a zone should have.
+// target is the number of servers of each kind that a zone should have.
 type target struct{ regular, reclaimable int }
 
-// targets returns how many servers of each kind each zone should have.
+// targets returns the target of each zone.
 func (p *Planner) targets(now time.Time, in *Input) []target {
 	out := make([]target, len(in.Zones))
-	want := max(p.want(now), in.Scaling.Least*len(in.Zones))
+	want := max(p.wanted(now), in.Scaling.Min*len(in.Zones))
 	if in.Scaling.ReclaimablePrice <= 0 {
-		spread(want, out, func(i int) (*int, int) { return &out[i].regular, in.Scaling.Most })
-		p.bound(in, out)
+		distribute(want, out, func(i int) (*int, int) { return &out[i].regular, in.Scaling.Max })
+		p.limitCost(in, out)
 		return out
 	}
-	regular := int(math.Ceil(p.policy.Regular * p.need))
-	spread(min(regular, want), out, func(i int) (*int, int) { return &out[i].regular, in.Scaling.Most })
-	p.reclaimable(in, want-regular, out)
-	p.replace(now, in, out)
-	p.bound(in, out)
+	regular := int(math.Ceil(p.policy.RegularShare * p.need))
+	distribute(min(regular, want), out, func(i int) (*int, int) { return &out[i].regular, in.Scaling.Max })
+	p.spreadReclaimable(in, want-regular, out)
+	p.coverWithRegular(now, in, out)
+	p.limitCost(in, out)
 	return out
 }
 
-// bound lowers the targets until they cost no more than they may: the dearest zones first,
-// and in each what is ordered beyond the least.
-func (p *Planner) bound(in *Input, out []target) {
-	if p.policy.MostPrice <= 0 {
+// limitCost lowers the targets until the cost is within the policy's bound, in the most
+// expensive zones first and in each zone down to the minimum.
+func (p *Planner) limitCost(in *Input, out []target) {
+	if p.policy.MaxPrice <= 0 {
 		return
 	}
 	cost := 0.0
@@ -38,7 +38,7 @@
 	for i := len(out) - 1; i >= 0; i-- {
 		price := in.Scaling.price(in.Zones[i].Name)
 		lower := func(count *int, each float64) {
-			for *count > 0 && cost > p.policy.MostPrice && out[i].regular+out[i].reclaimable > in.Scaling.Least {
+			for *count > 0 && cost > p.policy.MaxPrice && out[i].regular+out[i].reclaimable > in.Scaling.Min {
 				*count--
 				cost -= each
 			}
@@ -48,67 +48,72 @@
 	}
 }
 
-// reclaimable spreads reclaimable servers evenly over the zones. Those that have none to
-// give are asked for their part now and then; the others get it meanwhile.
-func (p *Planner) reclaimable(in *Input, want int, out []target) {
+// spreadReclaimable spreads reclaimable servers evenly over the zones. A zone that has
+// refused them keeps its share as target and is asked again after a pause; meanwhile the
+// other zones get its share.
+func (p *Planner) spreadReclaimable(in *Input, want int, out []target) {
 	each := (want + len(out) - 1) / len(out)
 	for i, z := range in.Zones {
-		if p.isDry(z.Name) {
-			out[i].reclaimable = max(z.Reclaimable, min(each, in.Scaling.Most-out[i].regular))
+		if p.isUnavailable(z.Name) {
+			out[i].reclaimable = max(z.Reclaimable, min(each, in.Scaling.Max-out[i].regular))
 			want -= z.Reclaimable
 		}
 	}
-	spread(want, out, func(i int) (*int, int) {
-		if p.isDry(in.Zones[i].Name) {
+	distribute(want, out, func(i int) (*int, int) {
+		if p.isUnavailable(in.Zones[i].Name) {
 			return nil, 0
 		}
-		return &out[i].reclaimable, in.Scaling.Most - out[i].regular
+		return &out[i].reclaimable, in.Scaling.Max - out[i].regular
 	})
 }
 
-// isDry reports whether a zone has refused reclaimable servers and given none since.
-func (p *Planner) isDry(zone string) bool { _, dry := p.dry[zone]; return dry }
+// isUnavailable reports whether a zone has refused reclaimable servers and provided none
+// since.
+func (p *Planner) isUnavailable(zone string) bool {
+	_, unavailable := p.unavailable[zone]
+	return unavailable
+}
 
-// replace keeps regular servers that are there while the others are too few, and adds
-// such where the needed ones are neither there nor on the way.
-func (p *Planner) replace(now time.Time, in *Input, out []target) {
-	there, coming := 0, 0
+// coverWithRegular keeps present regular servers while the reclaimable ones are too few,
+// and adds regular ones if needed servers are neither present nor booting.
+func (p *Planner) coverWithRegular(now time.Time, in *Input, out []target) {
+	present, booting := 0, 0
 	for _, z := range in.Zones {
-		there += z.ready()
-		coming += p.booting(now, in, Subject{in.Pool, z.Name, false}, z.Regular)
-		coming += p.booting(now, in, Subject{in.Pool, z.Name, true}, z.Reclaimable)
+		present += z.ready()
+		booting += p.booting(now, in, ServerGroup{in.Pool, z.Name, false}, z.Regular)
+		booting += p.booting(now, in, ServerGroup{in.Pool, z.Name, true}, z.Reclaimable)
 	}
-	// What is needed must stay; what goes beyond it may be late.
-	surplus := max(0, there-p.enough(now))
-	for i := len(in.Zones) - 1; i >= 0; i-- { // the dearest zones first
+	// Needed servers stay; the others may be removed.
+	surplus := max(0, present-p.requiredNow(now))
+	for i := len(in.Zones) - 1; i >= 0; i-- { // the most expensive zones first
 		excess := in.Zones[i].Regular - out[i].regular
 		if excess <= 0 {
 			continue
 		}
 		dropped := min(excess, surplus)
 		surplus -= dropped
-		out[i].regular = min(in.Zones[i].Regular-dropped, in.Scaling.Most)
+		out[i].regular = min(in.Zones[i].Regular-dropped, in.Scaling.Max)
 	}
-	missing := p.enough(now) - there - coming
+	missing := p.requiredNow(now) - present - booting
 	for i, z := range in.Zones {
-		given := z.Reclaimable + p.booting(now, in, Subject{in.Pool, z.Name, true}, z.Reclaimable)
-		if !p.isDry(z.Name) && out[i].regular+given < in.Scaling.Most {
-			return // reclaimable ones are to be had
+		given := z.Reclaimable + p.booting(now, in, ServerGroup{in.Pool, z.Name, true}, z.Reclaimable)
+		if !p.isUnavailable(z.Name) && out[i].regular+given < in.Scaling.Max {
+			return // reclaimable servers are available
 		}
 	}
 	for i, z := range in.Zones {
 		if missing <= 0 {
 			return
 		}
-		room := in.Scaling.Most - max(out[i].regular, z.Regular) - z.Reclaimable
+		room := in.Scaling.Max - max(out[i].regular, z.Regular) - z.Reclaimable
 		add := max(0, min(room, missing))
 		out[i].regular = max(out[i].regular, z.Regular) + add
 		missing -= add
 	}
 }
 
-// spread gives out n one after the other, to the places that still have room.
-func spread(n int, out []target, place func(i int) (count *int, most int)) {
+// distribute adds n one by one, in turn, to the counts that are below their maximum.
+func distribute(n int, out []target, place func(i int) (count *int, most int)) {
 	for n > 0 {
 		given := false
 		for i := range out {
--- a/core/state/duties_test.go
+++ b/core/state/duties_test.go
@@ -59,7 +59,7 @@
 	m := New()
 	former := holder(t, m, "a")
 	holder(t, m, "b")
-	order := &capacity.Order{Subject: capacity.Subject{Pool: "p", Zone: "z"}, Count: 4}
+	order := &capacity.Order{ServerGroup: capacity.ServerGroup{Pool: "p", Zone: "z"}, Count: 4}
 	r := apply(t, m, &Command{Type: CommandAct, Act: &ActCommand{Duty: "usage", Holder: "a", Term: former, Close: 7, Order: order}})
 	d := m.Duties()
 	if r.Code != CodeStale || r.Fence != 0 || d.Usage.Through != 0 || len(d.Orders) != 0 {
--- a/daemon/capacity/orderer.go
+++ b/daemon/capacity/orderer.go
@@ -204,9 +204,9 @@
 // note takes the outcome of an order, and reports whether the provider is out of reach.
 func (o *Orderer) note(now time.Time, r result, need capacity.Demand) (lost bool) {
 	p := o.planner(r.order.Pool)
-	p.Given(now, r.order, r.outcome == provider.Accepted)
+	p.RecordResult(now, r.order, r.outcome == provider.Accepted)
 	if r.outcome == provider.Refused && r.order.Reclaimable {
-		p.Dry(now, r.order.Zone)
+		p.MarkUnavailable(now, r.order.Zone)
 	}
 	st := p.Status(now)
 	log.WithFields(log.Fields{"step": "order servers", "pool": r.order.Pool, "zone": r.order.Zone, "reclaimable": r.order.Reclaimable,
--- a/daemon/routed_duties.go
+++ b/daemon/routed_duties.go
@@ -57,7 +57,7 @@
 
 func (d *Routed) addOrderer(to provider.Client, client *replica.Client) {
 	t := d.settings.Tuned().Capacity
-	d.orderer = capacity.New(capacity.Options{Policy: core.Policy{Reserve: t.Reserve, Regular: t.RegularShare, MostPrice: t.MostPrice},
+	d.orderer = capacity.New(capacity.Options{Policy: core.Policy{Reserve: t.Reserve, RegularShare: t.RegularShare, MaxPrice: t.MostPrice},
 		Provider: to, Declaration: d.control.Declaration, Servers: d.control.Servers, State: d.replica.Duties,
 		Demands: func(ctx context.Context) ([]core.Demand, error) { return usage.Demands(ctx, client) }})
 	d.addRunner(capacity.DutyName, client, d.orderer)
--- a/daemon/usage/collector.go
+++ b/daemon/usage/collector.go
@@ -131,7 +131,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.median.Note(now, req.Instance, time.Unix(0, req.TimeOfDay))
-	c.demands.Take(now, req.Demands)
+	c.demands.Update(now, req.Demands)
 	if req.Report == nil {
 		return nil, nil
 	}
