--- a/core/duty/lease.go
+++ b/core/duty/lease.go
@@ -1,40 +1,39 @@
-// Package duty holds the rules by which one instance at a time does a job that must not
-// be done twice: a lease in the replicated log, and the fencing tokens of what its
-// holder does.
+// Package duty implements leases for jobs that must be done by one instance at a time: a
+// lease in the replicated log, and fencing tokens for the actions of its holder.
 //
-// The load pattern it answers: holders are paused, cut off, restarted and lost while
-// their calls to an outside system are on the way, and those calls may take effect
-// seconds later. So a lease changes hands only when it has been still for its whole
-// length, each effect gets a token of its own, and tokens rise over all holders.
+// Holders are paused, cut off, restarted or lost while their calls to an external system
+// are in flight, and those calls may take effect seconds later. Therefore a lease
+// changes hands only after it has been unchanged for its whole length, each action has
+// its own fencing token, and tokens increase over all holders.
 //
-// The package is pure: clocks and randomness are passed in. No clock is compared with
-// another instance's.
+// The package does no I/O: time and random numbers are passed in. The clocks of
+// instances are not compared.
 package duty
 
 import "time"
 
-// Lease says who has a duty. Whoever takes it over names what it has seen: a renewal in
-// between makes the claim stale.
+// Lease states which instance has a duty. A claim names the last observed lease, so that
+// a renewal in between makes it stale.
 type Lease struct {
-	// Holder is empty before the first holder, and after one has released it.
+	// Holder is empty before the first holder and after a release.
 	Holder string `msgpack:"o"`
-	// Term rises with each new holder.
+	// Term increases with each new holder.
 	Term uint64 `msgpack:"f"`
-	// Renewals counts the holder's renewals.
+	// Renewals counts the renewals of the current holder.
 	Renewals uint64 `msgpack:"r"`
 }
 
-// Claim asks for a lease.
+// Claim requests a lease.
 type Claim struct {
 	Holder string `msgpack:"o"`
-	// Expected is what the claimant has seen last.
+	// Expected is the lease last observed by the claimant.
 	Expected Lease `msgpack:"e"`
-	// Release gives the lease back instead.
+	// Release releases the lease instead of claiming it.
 	Release bool `msgpack:"x,omitempty"`
 }
 
-// Take applies a claim and reports whether it was granted.
-func (l *Lease) Take(c Claim) bool {
+// Apply applies a claim and reports whether it was granted.
+func (l *Lease) Apply(c Claim) bool {
 	switch {
 	case c.Expected != *l:
 		return false
@@ -50,17 +49,18 @@
 	return true
 }
 
-// State is what the log holds of one duty.
+// State is the replicated state of one duty.
 type State struct {
 	Lease Lease `msgpack:"l"`
-	// Fence is the last fencing token given out.
+	// Fence is the last fencing token issued.
 	Fence uint64 `msgpack:"f"`
 }
 
-// NextFence gives the holder of a term the token of its next effect, which renews its
-// lease: nobody may take it over while the effect is on the way. Tokens rise over
-// all holders, and begin at the time of day in milliseconds: a group that has lost all
-// of its disks does not begin below what outside systems have seen.
+// NextFence returns the fencing token for the next action of a term's holder. It also
+// renews the lease, so that no other instance takes it over while the action is in
+// flight. Tokens increase over all holders and are at least the time of day in
+// milliseconds: a group that has lost all its disks doesn't restart below the tokens
+// that external systems have seen.
 func (s *State) NextFence(holder string, term uint64, unixMillis int64) (fence uint64, ok bool) {
 	if holder == "" || s.Lease.Holder != holder || s.Lease.Term != term {
 		return 0, false
@@ -70,45 +70,45 @@
 	return s.Fence, true
 }
 
-// Rules are the times of a lease, each on one instance's own clock, which must go on
-// while the instance is suspended.
-type Rules struct {
-	// Exclusive is how long a holder that has acted keeps the lease before it may release
-	// it.
+// Timing holds the durations of a lease. Each is measured on one instance's own clock,
+// which must run while the instance is suspended.
+type Timing struct {
+	// Exclusive is how long a holder keeps the lease after its first action before it
+	// may release it.
 	Exclusive time.Duration
-	// Validity is how long a renewal counts, from its sending.
+	// Validity is how long a renewal is valid, from when it was sent.
 	Validity time.Duration
-	// TakeOver is how long a contender must have seen the lease unchanged.
+	// TakeOver is how long a claimant must have seen the lease unchanged.
 	TakeOver time.Duration
-	// Rest is how long a former holder, and an instance that has just started and may
-	// be one, leaves a released lease to others.
-	Rest time.Duration
-	// Renew is the time between two renewals.
+	// Cooldown is how long a released lease is left to others by its former holder, and
+	// by an instance that has just started and may be that holder.
+	Cooldown time.Duration
+	// Renew is the interval between renewals.
 	Renew time.Duration
-	// Spread is the most that is added by lot to a contender's wait, so that not all
-	// claim at once.
-	Spread time.Duration
+	// Jitter is the maximum of the random addition to a claimant's wait, which keeps
+	// claimants from claiming simultaneously.
+	Jitter time.Duration
 }
 
-// Shares of the time in which no two holders may act in turn.
+// Durations relative to the exclusive time, in which no two holders may alternate.
 const (
 	validityShare = 0.7
-	// takeOverShare is more than 1 by the time that a holder's last effect may be on its
-	// way, a second of three.
+	// takeOverShare exceeds 1 by the time that a holder's last action may be in flight:
+	// one second for an exclusive time of three.
 	takeOverShare = 1.35
 	renewShare    = 0.2
-	restShare     = 2
-	spreadShare   = 0.15
+	cooldownShare = 2
+	jitterShare   = 0.15
 )
 
-// RulesFor returns the rules under which a former holder does not act again within a
-// time after it has acted and another one has acted since. A holder acts no later than
-// Validity after its last renewal; another one acts TakeOver after it at the earliest;
-// and the former holder waits for TakeOver again, or rests. Late effects of the former
-// holder end with the first effect of the next one, which does not release the lease
-// before the time is over.
-func RulesFor(exclusive time.Duration) Rules {
+// TimingFor returns the timing with which a former holder doesn't act again within the
+// exclusive time after another holder has acted in between. A holder acts no later than
+// Validity after its last renewal, and another one TakeOver after it at the earliest.
+// The former holder then waits for TakeOver again, or for Cooldown. Late actions of the
+// former holder are rejected after the first action of the next one, which doesn't
+// release the lease before the exclusive time has passed.
+func TimingFor(exclusive time.Duration) Timing {
 	share := func(x float64) time.Duration { return time.Duration(x * float64(exclusive)) }
-	return Rules{Exclusive: exclusive, Validity: share(validityShare), TakeOver: share(takeOverShare),
-		Rest: share(restShare), Renew: share(renewShare), Spread: share(spreadShare)}
+	return Timing{Exclusive: exclusive, Validity: share(validityShare), TakeOver: share(takeOverShare),
+		Cooldown: share(cooldownShare), Renew: share(renewShare), Jitter: share(jitterShare)}
 }
--- a/core/duty/schedule_test.go
+++ b/core/duty/schedule_test.go
@@ -9,219 +9,223 @@
 
 const (
 	exclusive = 3 * time.Second
-	// mostActs is how many looks at its lease a holder of the schedules takes on average
-	// before it releases it.
-	mostActs = 25
-	// leastEffects is what a duty that goes on brings about in two minutes of that.
-	leastEffects = 40
+	// stepsPerRelease is the mean number of steps after which a holder releases its
+	// lease.
+	stepsPerRelease = 25
+	// minActions is the number of actions of a live duty in two minutes of a schedule.
+	minActions = 40
 )
 
-// world is a log, a provider that checks fences, and contenders that are paused,
-// restarted and cut off while their claims and calls are on the way.
-type world struct {
+// simulation is a log, a provider that checks fencing tokens, and claimants that are
+// paused, restarted and cut off while their claims and calls are in flight.
+type simulation struct {
 	random *rand.Rand
 	now    time.Time
 	log    State
-	// seenFence is the highest fence that the provider has seen; users are the holders
-	// of each fence.
-	seenFence uint64
-	users     map[uint64]string
-	// acts are the effects that the provider has accepted, in their order.
-	acts  []act
-	nodes []*node
-	due   []event
-	// broken is the first rule that was broken while the schedule went on.
-	broken error
-}
-
-type act struct {
+	// maxFence is the highest fencing token that the provider has seen; users maps each
+	// token to its holder.
+	maxFence uint64
+	users    map[uint64]string
+	// actions holds the actions accepted by the provider, in order.
+	actions []action
+	nodes   []*node
+	due     []event
+	// violation is the first rule violation during the schedule.
+	violation error
+}
+
+type action struct {
 	holder string
 	at     time.Time
 }
 
-// event happens at a time.
+// event is a scheduled event.
 type event struct {
 	at time.Time
 	do func()
 }
 
-// node is one instance. Its machine has a name that it keeps over restarts.
+// node is one instance. Its machine keeps its name over restarts.
 type node struct {
-	machine   string
-	starts    int
-	contender *Contender
-	// pausedUntil: the process stands still; cutUntil: it reaches neither log nor provider.
+	machine  string
+	starts   int
+	claimant *Claimant
+	// pausedUntil ends a pause of the process, cutUntil a loss of its connections to log
+	// and provider.
 	pausedUntil, cutUntil time.Time
 }
 
 func (n *node) process() string { return fmt.Sprintf("%s/%d", n.machine, n.starts) }
 
-func (w *world) start(n *node) {
+func (s *simulation) start(n *node) {
 	n.starts++
-	n.contender = NewContender(n.process(), RulesFor(exclusive), w.now, w.random.Float64)
+	n.claimant = NewClaimant(n.process(), TimingFor(exclusive), s.now, s.random.Float64)
 }
 
-func (w *world) after(d time.Duration, do func()) { w.due = append(w.due, event{w.now.Add(d), do}) }
+func (s *simulation) after(d time.Duration, do func()) {
+	s.due = append(s.due, event{s.now.Add(d), do})
+}
 
-func (w *world) delay(most time.Duration) time.Duration {
-	return time.Duration(w.random.Float64() * float64(most))
+func (s *simulation) delay(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Float64() * float64(limit))
 }
 
-// step lets a node do what its loop does.
-func (w *world) step(n *node) {
-	if w.now.Before(n.pausedUntil) {
+// step runs one iteration of a node's loop.
+func (s *simulation) step(n *node) {
+	if s.now.Before(n.pausedUntil) {
 		return
 	}
 	starts := n.starts
-	alive := func() bool { return n.starts == starts && !w.now.Before(n.pausedUntil) }
-	if !w.now.Before(n.cutUntil) {
-		n.contender.Observe(w.now, w.log.Lease)
+	alive := func() bool { return n.starts == starts && !s.now.Before(n.pausedUntil) }
+	if !s.now.Before(n.cutUntil) {
+		n.claimant.Observe(s.now, s.log.Lease)
 	}
-	if claim, ok := n.contender.Claim(w.now); ok {
-		w.send(n, claim, alive)
+	if claim, ok := n.claimant.Claim(s.now); ok {
+		s.send(n, claim, alive)
 	}
-	if n.contender.Holds(w.now) && w.random.IntN(4) == 0 {
-		w.effect(n, alive)
+	if n.claimant.Holds(s.now) && s.random.IntN(4) == 0 {
+		s.act(n, alive)
 	}
-	if n.contender.Holds(w.now) && w.random.IntN(mostActs) == 0 {
-		if claim, ok := n.contender.Release(w.now); ok {
-			w.send(n, claim, alive)
+	if n.claimant.Holds(s.now) && s.random.IntN(stepsPerRelease) == 0 {
+		if claim, ok := n.claimant.Release(s.now); ok {
+			s.send(n, claim, alive)
 		}
 	}
 }
 
-// send brings a claim to the log and its result back; both may be lost or late.
-func (w *world) send(n *node, claim Claim, alive func() bool) {
-	sent := w.now
-	w.after(w.delay(400*time.Millisecond), func() {
-		if w.now.Before(n.cutUntil) || w.random.IntN(20) == 0 {
+// send delivers a claim to the log and returns the result; both may be lost or late.
+func (s *simulation) send(n *node, claim Claim, alive func() bool) {
+	sent := s.now
+	s.after(s.delay(400*time.Millisecond), func() {
+		if s.now.Before(n.cutUntil) || s.random.IntN(20) == 0 {
 			return
 		}
-		granted, lease := w.log.Lease.Take(claim), w.log.Lease
-		w.after(w.delay(200*time.Millisecond), func() {
-			if granted && alive() && w.random.IntN(20) > 0 {
-				n.contender.Granted(w.now, sent, lease)
+		granted, lease := s.log.Lease.Apply(claim), s.log.Lease
+		s.after(s.delay(200*time.Millisecond), func() {
+			if granted && alive() && s.random.IntN(20) > 0 {
+				n.claimant.Granted(s.now, sent, lease)
 			}
 		})
 	})
 }
 
-// effect takes a fence from the log and calls the provider, which may carry the call out
-// seconds later. The holder may be paused in between, but for the moment between its
-// last look at the lease and the sending.
-func (w *world) effect(n *node, alive func() bool) {
-	lease, sent := n.contender.Seen(), w.now
+// act gets a fencing token from the log and calls the provider, which may execute the
+// call seconds later. The holder may be paused in between, but not between its last
+// check of the lease and the sending.
+func (s *simulation) act(n *node, alive func() bool) {
+	lease, sent := n.claimant.LastLease(), s.now
 	process, machine := n.process(), n.machine
-	w.after(w.delay(300*time.Millisecond), func() {
-		fence, ok := w.log.NextFence(process, lease.Term, w.now.UnixMilli())
+	s.after(s.delay(300*time.Millisecond), func() {
+		fence, ok := s.log.NextFence(process, lease.Term, s.now.UnixMilli())
 		if !ok {
 			return
 		}
-		renewed := w.log.Lease
-		w.after(w.delay(300*time.Millisecond), func() {
-			if !alive() || w.now.Before(n.cutUntil) || !n.contender.Holds(w.now) {
+		renewed := s.log.Lease
+		s.after(s.delay(300*time.Millisecond), func() {
+			if !alive() || s.now.Before(n.cutUntil) || !n.claimant.Holds(s.now) {
 				return
 			}
-			n.contender.Granted(w.now, sent, renewed)
-			n.contender.Acted(w.now)
-			late := w.delay(20 * time.Millisecond)
-			if w.random.IntN(10) == 0 {
-				late = w.delay(10 * time.Second)
+			n.claimant.Granted(s.now, sent, renewed)
+			n.claimant.RecordAction(s.now)
+			late := s.delay(20 * time.Millisecond)
+			if s.random.IntN(10) == 0 {
+				late = s.delay(10 * time.Second)
 			}
-			w.after(late, func() { w.provider(machine, fence) })
+			s.after(late, func() { s.provider(machine, fence) })
 		})
 	})
 }
 
-func (w *world) provider(machine string, fence uint64) {
-	if fence < w.seenFence {
+func (s *simulation) provider(machine string, fence uint64) {
+	if fence < s.maxFence {
 		return
 	}
-	w.seenFence = fence
-	if before, used := w.users[fence]; used && before != machine {
-		w.broken = fmt.Errorf("%s and %s acted with fence %d", before, machine, fence)
+	s.maxFence = fence
+	if before, used := s.users[fence]; used && before != machine {
+		s.violation = fmt.Errorf("%s and %s acted with fence %d", before, machine, fence)
 	}
-	w.users[fence] = machine
-	w.acts = append(w.acts, act{machine, w.now})
+	s.users[fence] = machine
+	s.actions = append(s.actions, action{machine, s.now})
 }
 
-// check returns what is broken: a fence of two holders, or holders that act in turn.
-func (w *world) check() error {
-	if w.broken != nil {
-		return w.broken
+// check returns a violation: a token used by two holders, or alternating holders.
+func (s *simulation) check() error {
+	if s.violation != nil {
+		return s.violation
 	}
-	for i := 2; i < len(w.acts); i++ {
-		last := w.acts[i]
+	for i := 2; i < len(s.actions); i++ {
+		last := s.actions[i]
 		between := false
-		for j := i - 1; j >= 0 && last.at.Sub(w.acts[j].at) < exclusive; j-- {
-			if w.acts[j].holder != last.holder {
+		for j := i - 1; j >= 0 && last.at.Sub(s.actions[j].at) < exclusive; j-- {
+			if s.actions[j].holder != last.holder {
 				between = true
 			} else if between {
-				return fmt.Errorf("%s acted at %v and %v, another one between", last.holder, w.acts[j].at, last.at)
+				return fmt.Errorf("%s acted at %v and %v, with another holder in between", last.holder, s.actions[j].at, last.at)
 			}
 		}
 	}
 	return nil
 }
 
-func (w *world) disturb() {
-	n := w.nodes[w.random.IntN(len(w.nodes))]
-	switch w.random.IntN(60) {
+func (s *simulation) disturb() {
+	n := s.nodes[s.random.IntN(len(s.nodes))]
+	switch s.random.IntN(60) {
 	case 0:
-		n.pausedUntil = w.now.Add(w.delay(9 * time.Second))
+		n.pausedUntil = s.now.Add(s.delay(9 * time.Second))
 	case 1:
-		n.cutUntil = w.now.Add(w.delay(9 * time.Second))
+		n.cutUntil = s.now.Add(s.delay(9 * time.Second))
 	case 2:
-		w.start(n)
+		s.start(n)
 	}
 }
 
-func (w *world) run(length time.Duration) error {
+func (s *simulation) run(length time.Duration) error {
 	const tick = 50 * time.Millisecond
-	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(tick) {
-		for _, n := range w.nodes {
-			w.step(n)
+	for end := s.now.Add(length); s.now.Before(end); s.now = s.now.Add(tick) {
+		for _, n := range s.nodes {
+			s.step(n)
 		}
-		w.disturb()
-		w.arrive()
+		s.disturb()
+		s.deliver()
 	}
-	return w.check()
+	return s.check()
 }
 
-// arrive lets happen what is due, also what that brings about.
-func (w *world) arrive() {
-	for i := 0; i < len(w.due); i++ {
-		if w.due[i].at.After(w.now) {
+// deliver runs the events that are due, including those they schedule.
+func (s *simulation) deliver() {
+	for i := 0; i < len(s.due); i++ {
+		if s.due[i].at.After(s.now) {
 			continue
 		}
-		do := w.due[i].do
-		w.due = append(w.due[:i], w.due[i+1:]...)
+		do := s.due[i].do
+		s.due = append(s.due[:i], s.due[i+1:]...)
 		i = -1
 		do()
 	}
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1_800_000_000, 0), users: map[uint64]string{}}
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1_800_000_000, 0), users: map[uint64]string{}}
 	for i := range 5 {
 		n := &node{machine: string(rune('a' + i))}
-		w.start(n)
-		w.nodes = append(w.nodes, n)
+		s.start(n)
+		s.nodes = append(s.nodes, n)
 	}
-	return w
+	return s
 }
 
-// TestRandomSchedules plays pauses, cuts, restarts, losses and late effects: no holder
-// acts again within the exclusive time after another one, and the duty goes on.
+// Random schedules of pauses, disconnections, restarts, losses and late calls. No holder
+// may act again within the exclusive time after another one has acted, and the duty must
+// make progress.
 func TestRandomSchedules(t *testing.T) {
 	const seeds = 300
 	for seed := range uint64(seeds) {
-		w := newWorld(seed)
-		if err := w.run(2 * time.Minute); err != nil {
+		s := newSimulation(seed)
+		if err := s.run(2 * time.Minute); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
-		if len(w.acts) < leastEffects {
-			t.Errorf("seed %d: only %d effects", seed, len(w.acts))
+		if len(s.actions) < minActions {
+			t.Errorf("seed %d: only %d actions", seed, len(s.actions))
 		}
 	}
 }
--- a/core/state/duties.go
+++ b/core/state/duties.go
@@ -50,7 +50,7 @@
 		return Result{Code: CodeRefused, Message: "too many duties"}
 	}
 	code := CodeOK
-	if !d.Lease.Take(c.Claim) {
+	if !d.Lease.Apply(c.Claim) {
 		code = CodeStale
 	}
 	s.put(c.Duty, d)
--- a/core/state/placement.go
+++ b/core/state/placement.go
@@ -38,7 +38,7 @@
 
 func (s *placementState) lease(c *LeaseCommand) Result {
 	code := CodeOK
-	if c.Owner != "" && !s.Lease.Take(duty.Claim{Holder: c.Owner, Expected: c.Expected}) {
+	if c.Owner != "" && !s.Lease.Apply(duty.Claim{Holder: c.Owner, Expected: c.Expected}) {
 		code = CodeStale
 	}
 	out := s.Lease
--- a/daemon/duties/runner.go
+++ b/daemon/duties/runner.go
@@ -48,7 +48,7 @@
 	Duty string
 	// Owner is this process; Instance is its name towards the outside.
 	Owner, Instance string
-	Rules           duty.Rules
+	Rules           duty.Timing
 	Log             Log
 	// State is what this replica's log holds.
 	State func() state.Duties
@@ -60,13 +60,13 @@
 	opt Options
 
 	mu        sync.Mutex
-	contender *duty.Contender
+	contender *duty.Claimant
 	tenure    *Tenure
 }
 
 // New returns the runner of a duty.
 func New(o Options) *Runner {
-	return &Runner{opt: o, contender: duty.NewContender(o.Owner, o.Rules, boottime.Now(), rand.Float64)}
+	return &Runner{opt: o, contender: duty.NewClaimant(o.Owner, o.Rules, boottime.Now(), rand.Float64)}
 }
 
 // String names the service in the supervisor's log.
@@ -142,7 +142,7 @@
 		r.mu.Unlock()
 		return
 	}
-	term := r.contender.Seen().Term
+	term := r.contender.LastLease().Term
 	if r.tenure == nil || r.tenure.Term != term {
 		r.tenure = &Tenure{Term: term, Since: boottime.Now(), runner: r}
 	}
@@ -189,7 +189,7 @@
 	r := t.runner
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.contender.Holds(boottime.Now()) && r.contender.Seen().Term == t.Term
+	return r.contender.Holds(boottime.Now()) && r.contender.LastLease().Term == t.Term
 }
 
 // Record puts an effect into the log and returns its fence. Nothing may be sent that was
@@ -223,7 +223,7 @@
 	}
 	t.runner.mu.Lock()
 	defer t.runner.mu.Unlock()
-	t.runner.contender.Acted(boottime.Now())
+	t.runner.contender.RecordAction(boottime.Now())
 	return true
 }
 
--- a/daemon/placement/placement.go
+++ b/daemon/placement/placement.go
@@ -41,7 +41,7 @@
 
 // leaseRules are the order lease's. A contender must have seen it unchanged for longer
 // than it is valid, by more than clocks drift apart in that time.
-var leaseRules = duty.Rules{Validity: 4 * time.Second, TakeOver: 6 * time.Second}
+var leaseRules = duty.Timing{Validity: 4 * time.Second, TakeOver: 6 * time.Second}
 
 // Service is a suture service.
 type Service struct {
@@ -52,7 +52,7 @@
 	// Servers lists all backend servers.
 	Servers func(context.Context) []api.ServerEntry
 
-	contender *duty.Contender
+	contender *duty.Claimant
 	// looked: the lease has been read; before that it looks as if nobody ever had it.
 	looked    bool
 	heldSince time.Time
@@ -64,7 +64,7 @@
 
 // Serve holds the lease while this instance has the role, and gives orders.
 func (s *Service) Serve(ctx context.Context) error {
-	s.contender = duty.NewContender(s.Owner, leaseRules, boottime.Now(), rand.Float64)
+	s.contender = duty.NewClaimant(s.Owner, leaseRules, boottime.Now(), rand.Float64)
 	return loop.Every(ctx, period, func(time.Time) {
 		if s.wanted() && s.hold(ctx) {
 			s.give(ctx)
@@ -89,7 +89,7 @@
 // hold renews the lease, or takes it over when it has been still long enough.
 func (s *Service) hold(ctx context.Context) bool {
 	sent := boottime.Now()
-	before := s.contender.Seen()
+	before := s.contender.LastLease()
 	cmd := state.LeaseCommand{} // only looks
 	if claim, ok := s.contender.Claim(sent); ok && s.looked {
 		cmd = state.LeaseCommand{Owner: claim.Holder, Expected: claim.Expected}
@@ -130,7 +130,7 @@
 		if !b.Pools[o.Pool].ChecksFencing && boottime.Now().Sub(s.heldSince) < quiet {
 			continue
 		}
-		o.Fence = s.contender.Seen().Term
+		o.Fence = s.contender.LastLease().Term
 		if err := s.order(ctx, &o, addresses[o.Server]); err != nil {
 			log.WithError(err).WithFields(log.Fields{"step": "order engine", "peer": o.Server, "fence": o.Fence}).Warn("will be tried again")
 		}
--- a/daemon/routed_duties.go
+++ b/daemon/routed_duties.go
@@ -65,7 +65,7 @@
 
 func (d *Routed) addRunner(name string, client *replica.Client, w duties.Work) {
 	r := duties.New(duties.Options{Duty: name, Owner: d.gossip.Self().Owner(), Instance: d.settings.Instance.Name,
-		Rules: duty.RulesFor(d.settings.Tuned().Provider.Exclusive), Log: client, State: d.replica.Duties, Work: w})
+		Rules: duty.TimingFor(d.settings.Tuned().Provider.Exclusive), Log: client, State: d.replica.Duties, Work: w})
 	d.runners = append(d.runners, r)
 	d.services = append(d.services, r)
 }
