--- a/core/state/duties.go
+++ b/core/state/duties.go
@@ -75,10 +75,10 @@
 	}
 	res := Result{Code: CodeOK, Fence: fence}
 	if c.Taken != 0 {
-		s.Usage.Taken(c.Taken)
+		s.Usage.Acknowledge(c.Taken)
 	}
 	if c.Forget != 0 {
-		s.Usage.Forget(c.Forget)
+		s.Usage.DropBefore(c.Forget)
 	}
 	if c.Close != 0 {
 		record, closed := s.Usage.Close(c.Close)
@@ -100,8 +100,8 @@
 func (s *dutyState) report(list []usage.Report) Result {
 	res := Result{Code: CodeOK, Counted: make(map[string]uint64, len(list))}
 	for _, r := range list {
-		s.Usage.Take(r)
-		res.Counted[r.Teller] = s.Usage.Number(r.Teller)
+		s.Usage.Apply(r)
+		res.Counted[r.Reporter] = s.Usage.Number(r.Reporter)
 	}
 	s.Revision++
 	return res
--- a/core/state/duties_test.go
+++ b/core/state/duties_test.go
@@ -24,7 +24,7 @@
 }
 
 func report(number uint64, w usage.Window, runs uint32) *Command {
-	return &Command{Type: CommandUsage, Reports: []usage.Report{{Teller: "a", Number: number, Rows: []usage.Row{{Window: w, Customer: "x", Runs: runs}}}}}
+	return &Command{Type: CommandUsage, Reports: []usage.Report{{Reporter: "a", Number: number, Rows: []usage.Row{{Window: w, Customer: "x", Runs: runs}}}}}
 }
 
 // TestDutiesOutliveASnapshot: a replica that starts from a snapshot goes on as the others
--- a/core/state/usage_size_test.go
+++ b/core/state/usage_size_test.go
@@ -35,7 +35,7 @@
 		entry := (int(u.now.UnixMilli()/sizeGather.Milliseconds())*told + i) % sizeEntries
 		u.numbers[entry]++
 		w := usage.WindowAt(u.now, sizeWindow)
-		r := usage.Report{Teller: fmt.Sprintf("front-nasr-hall-%d/8e73c4f4", entry), Number: u.numbers[entry], Through: w - 1}
+		r := usage.Report{Reporter: fmt.Sprintf("front-nasr-hall-%d/8e73c4f4", entry), Number: u.numbers[entry], Through: w - 1}
 		calls := float64(sizeCalls) / sizeEntries * sizePeriod.Seconds()
 		for range int(calls + u.random.Float64()) {
 			r.Rows = append(r.Rows, usage.Row{Window: w, Customer: fmt.Sprintf("customer%d", u.random.IntN(u.customers)), Runs: 1})
--- a/core/usage/meter.go
+++ b/core/usage/meter.go
@@ -7,25 +7,25 @@
 
 // Bounds of a meter.
 const (
-	// mostRuns bounds the runs that wait for the agreed time, a minute of the busiest
-	// entry measured; further ones are counted by the instance's own time of day.
-	mostRuns = 8192
-	// mostRows bounds a report: 1,000 customers in four windows.
-	mostRows = 4096
+	// maxRuns bounds the runs that wait for the agreed time, one minute of the busiest
+	// measured entry. Further runs are counted by the instance's own time of day.
+	maxRuns = 8192
+	// maxRows bounds a report: 1,000 customers in four windows.
+	maxRows = 4096
 )
 
-// Meter counts the runs that one process sees, and makes its reports. Times are those of
-// a clock that is never set. Not safe for concurrent use.
+// Meter counts the runs that one process starts and builds its reports. Times are those
+// of a monotonic clock. Not safe for concurrent use.
 type Meter struct {
-	teller string
-	length time.Duration
-	// settle is how long after the end of a window the runs that began in it may still be
-	// noted.
+	reporter string
+	length   time.Duration
+	// settle is how long after the end of a window the runs that began in it may still
+	// be recorded.
 	settle time.Duration
 
 	runs []run
 	rows map[rowKey]uint32
-	// sent is the report that has no acknowledgement yet.
+	// sent is the last report while it is not acknowledged.
 	sent   *Report
 	number uint64
 }
@@ -41,22 +41,24 @@
 }
 
 // NewMeter returns the meter of the named process.
-func NewMeter(teller string, window, settle time.Duration) *Meter {
-	return &Meter{teller: teller, length: window, settle: settle, rows: map[rowKey]uint32{}}
+func NewMeter(reporter string, window, settle time.Duration) *Meter {
+	return &Meter{reporter: reporter, length: window, settle: settle, rows: map[rowKey]uint32{}}
 }
 
-// Began counts a run that began at a time. own is the instance's own time of day then.
-func (m *Meter) Began(at time.Time, customer string, own time.Time) {
-	if len(m.runs) >= mostRuns {
+// RecordRun counts a run that began at the given time; own is the instance's own time of
+// day at that moment.
+func (m *Meter) RecordRun(at time.Time, customer string, own time.Time) {
+	if len(m.runs) >= maxRuns {
 		m.rows[rowKey{WindowAt(own, m.length), customer}]++
 		return
 	}
 	m.runs = append(m.runs, run{at, customer})
 }
 
-// Next returns the report to send now: the last one again while it has no
-// acknowledgement. agreed turns a time of the meter's clock into the agreed time of day.
-func (m *Meter) Next(now time.Time, agreed func(time.Time) time.Time) *Report {
+// NextReport returns the report to send now: the last one while it is not acknowledged,
+// otherwise a new one. agreed converts a time of the meter's clock to the agreed time of
+// day.
+func (m *Meter) NextReport(now time.Time, agreed func(time.Time) time.Time) *Report {
 	if m.sent != nil {
 		return m.sent
 	}
@@ -65,18 +67,19 @@
 	}
 	m.runs = m.runs[:0]
 	m.number++
-	m.sent = &Report{Teller: m.teller, Number: m.number, Rows: m.take()}
+	m.sent = &Report{Reporter: m.reporter, Number: m.number, Rows: m.takeRows()}
 	if len(m.rows) == 0 {
 		m.sent.Through = WindowAt(agreed(now.Add(-m.settle)), m.length) - 1
 	}
 	return m.sent
 }
 
-// take removes the rows of one report, in the order of windows and customers.
-func (m *Meter) take() []Row {
-	out := make([]Row, 0, min(len(m.rows), mostRows))
+// takeRows removes the rows of one report and returns them sorted by window and
+// customer.
+func (m *Meter) takeRows() []Row {
+	out := make([]Row, 0, min(len(m.rows), maxRows))
 	for key, runs := range m.rows {
-		if len(out) == mostRows {
+		if len(out) == maxRows {
 			break
 		}
 		out = append(out, Row{Window: key.window, Customer: key.customer, Runs: runs})
@@ -91,12 +94,12 @@
 	return out
 }
 
-// Acknowledged notes that the reports up to a number are counted.
+// Acknowledged records that the reports up to the given number have been counted.
 func (m *Meter) Acknowledged(number uint64) {
 	if m.sent != nil && m.sent.Number <= number {
 		m.sent = nil
 	}
 }
 
-// Pending reports whether there are runs that no report was acknowledged for.
+// Pending reports whether there are runs that are not covered by an acknowledged report.
 func (m *Meter) Pending() bool { return m.sent != nil || len(m.runs) > 0 || len(m.rows) > 0 }
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -1,12 +1,12 @@
-// Package usage counts what ran for each customer, in windows of the time of day that the
+// Package usage counts the runs of each customer in windows of the time of day that the
 // instances agree on.
 //
-// The load pattern it answers: hundreds of entries see runs begin, and any of them, and
-// any instance that gathers their counts, may be lost between two messages. So entries
-// tell their counts in numbered reports, each again until the replicated log has it; the
-// log takes each number once; and a window that is closed there never changes.
+// Hundreds of entries start runs, and any of them, like any instance that collects their
+// counts, may be lost between two messages. Therefore entries send their counts in
+// numbered reports and repeat each report until it is in the replicated log. The log
+// counts each number once, and a closed window never changes.
 //
-// The package is pure: clocks are passed in.
+// The package does no I/O and reads no clock: times are passed in.
 package usage
 
 import (
@@ -16,32 +16,32 @@
 	"time"
 )
 
-// Window numbers a span of time: window k begins k times its length after the start of
-// 1970.
+// Window is the number of a time span: window k begins k window lengths after the start
+// of 1970.
 type Window int64
 
-// WindowAt returns the window that a time falls into.
+// WindowAt returns the window that contains a time.
 func WindowAt(t time.Time, length time.Duration) Window {
 	return Window(t.UnixNano() / int64(length))
 }
 
-// End returns when a window ends.
+// End returns the end of a window.
 func (w Window) End(length time.Duration) time.Time { return time.Unix(0, (int64(w)+1)*int64(length)) }
 
-// Row is how many runs began for a customer in a window.
+// Row is the number of runs that began for a customer in a window.
 type Row struct {
 	Window   Window `msgpack:"w"`
 	Customer string `msgpack:"c"`
 	Runs     uint32 `msgpack:"n"`
 }
 
-// Report is what one process tells of the runs that it has seen since its last report.
+// Report holds the runs that one process has counted since its last report.
 type Report struct {
-	// Teller is the process; a restart makes another one.
-	Teller string `msgpack:"t"`
-	// Number rises by one with each report.
+	// Reporter identifies the process; a restarted process has another identity.
+	Reporter string `msgpack:"t"`
+	// Number increases by one with each report.
 	Number uint64 `msgpack:"n"`
-	// Through is the last window of which nothing will follow.
+	// Through is the last window for which the process will report no more runs.
 	Through Window `msgpack:"h"`
 	Rows    []Row  `msgpack:"r,omitempty"`
 }
@@ -50,58 +50,59 @@
 type Record struct {
 	Window Window            `msgpack:"w"`
 	Counts map[string]uint64 `msgpack:"c"`
-	// Taken: whoever asks for usage has acknowledged it.
-	Taken bool `msgpack:"k,omitempty"`
+	// Acknowledged is set once the receiver of usage records has acknowledged the
+	// window.
+	Acknowledged bool `msgpack:"k,omitempty"`
 }
 
 // Bounds of a ledger.
 const (
-	// keptTellers is nearly three times the entries of the largest deployment aimed at.
-	// Those that told last longest ago go first.
-	keptTellers = 1024
-	// keptRows bounds the counts of closed windows: 100,000 are some 1.5 MB; 24 customers
-	// fill them in 5.8 hours of windows of 5 s.
-	keptRows = 100_000
-	// mostOpen bounds the windows that are open: with 5 s, ten minutes without a holder of
-	// the duty. Reports of further windows count as late.
-	mostOpen = 120
+	// maxReporters is nearly three times the number of entries of the largest intended
+	// deployment. The reporter with the oldest report is dropped first.
+	maxReporters = 1024
+	// maxClosedRows bounds the counts of closed windows: 100,000 take about 1.5 MB; 24
+	// customers fill them in 5.8 hours with windows of 5 s.
+	maxClosedRows = 100_000
+	// maxOpen bounds the open windows: ten minutes without a holder of the duty for
+	// windows of 5 s. Runs of further windows count as late.
+	maxOpen = 120
 )
 
-// teller is what the log knows of a process that reports.
-type teller struct {
+// reporter is the replicated state of a reporting process.
+type reporter struct {
 	Number  uint64 `msgpack:"n"`
 	Through Window `msgpack:"h"`
-	// Turn orders tellers by their last report.
-	Turn uint64 `msgpack:"t"`
+	// LastUpdate orders reporters by their last report.
+	LastUpdate uint64 `msgpack:"t"`
 }
 
 // Ledger is the part of the replicated state that holds the counts. The zero value is
 // empty.
 type Ledger struct {
-	Tellers map[string]teller            `msgpack:"t,omitempty"`
-	Open    map[Window]map[string]uint64 `msgpack:"o,omitempty"`
-	// Closed are in the order of their windows.
+	Reporters map[string]reporter          `msgpack:"t,omitempty"`
+	Open      map[Window]map[string]uint64 `msgpack:"o,omitempty"`
+	// Closed is sorted by window.
 	Closed []Record `msgpack:"c,omitempty"`
-	// Through is the last window that was closed.
+	// Through is the last closed window.
 	Through Window `msgpack:"h"`
-	// Late counts runs that were told after their window was closed.
-	Late uint64 `msgpack:"l"`
-	Turn uint64 `msgpack:"u"`
-	Rows int    `msgpack:"r"`
+	// Late counts runs that were reported after their window was closed.
+	Late    uint64 `msgpack:"l"`
+	Updates uint64 `msgpack:"u"`
+	Rows    int    `msgpack:"r"`
 }
 
-// Take counts a report, once.
-func (l *Ledger) Take(r Report) {
-	if l.Tellers == nil {
-		l.Tellers = map[string]teller{}
+// Apply counts a report unless it was counted before.
+func (l *Ledger) Apply(r Report) {
+	if l.Reporters == nil {
+		l.Reporters = map[string]reporter{}
 	}
-	known := l.Tellers[r.Teller]
+	known := l.Reporters[r.Reporter]
 	if r.Number <= known.Number {
 		return
 	}
-	l.Turn++
-	l.Tellers[r.Teller] = teller{Number: r.Number, Through: max(known.Through, r.Through), Turn: l.Turn}
-	l.forgetTellers()
+	l.Updates++
+	l.Reporters[r.Reporter] = reporter{Number: r.Number, Through: max(known.Through, r.Through), LastUpdate: l.Updates}
+	l.evictReporter()
 	for _, row := range r.Rows {
 		l.count(row)
 	}
@@ -109,13 +110,13 @@
 
 func (l *Ledger) count(row Row) {
 	open := l.Open[row.Window]
-	if row.Window <= l.Through || open == nil && len(l.Open) >= mostOpen {
+	if row.Window <= l.Through || open == nil && len(l.Open) >= maxOpen {
 		l.Late += uint64(row.Runs)
 		return
 	}
 	if open == nil {
 		open = map[string]uint64{}
-		if l.Open == nil { // also after a snapshot without open windows
+		if l.Open == nil { // nil also after restoring a snapshot without open windows
 			l.Open = map[Window]map[string]uint64{}
 		}
 		l.Open[row.Window] = open
@@ -123,24 +124,24 @@
 	open[row.Customer] += uint64(row.Runs)
 }
 
-func (l *Ledger) forgetTellers() {
-	if len(l.Tellers) <= keptTellers {
+func (l *Ledger) evictReporter() {
+	if len(l.Reporters) <= maxReporters {
 		return
 	}
-	oldest, turn := "", l.Turn
-	for name, t := range l.Tellers {
-		if t.Turn < turn {
-			oldest, turn = name, t.Turn
+	oldest, lastUpdate := "", l.Updates
+	for name, t := range l.Reporters {
+		if t.LastUpdate < lastUpdate {
+			oldest, lastUpdate = name, t.LastUpdate
 		}
 	}
-	delete(l.Tellers, oldest)
+	delete(l.Reporters, oldest)
 }
 
-// Number returns the last report of a process that was counted.
-func (l *Ledger) Number(teller string) uint64 { return l.Tellers[teller].Number }
+// Number returns the number of the last counted report of a process.
+func (l *Ledger) Number(reporter string) uint64 { return l.Reporters[reporter].Number }
 
-// Close ends a window for good, with what was counted until now. A window that is closed
-// stays as it is; ok is false for one that was passed over.
+// Close closes a window with the runs counted so far. A window that is already closed is
+// returned unchanged; ok is false if it was skipped or is no longer kept.
 func (l *Ledger) Close(w Window) (r Record, ok bool) {
 	if w <= l.Through {
 		return l.Record(w)
@@ -160,28 +161,28 @@
 		}
 	}
 	l.Through = w
-	// A new list: readers share the old one.
+	// Readers share the old slice, so a new one is built.
 	l.Closed = append(slices.Clone(l.Closed), r)
 	l.Rows += len(r.Counts)
-	l.forgetRecords()
+	l.evictRecords()
 	return r, true
 }
 
-// forgetRecords drops the oldest windows beyond what is kept, those that were taken first.
-func (l *Ledger) forgetRecords() {
-	for l.Rows > keptRows && len(l.Closed) > 1 {
-		at := slices.IndexFunc(l.Closed, func(r Record) bool { return r.Taken })
+// evictRecords drops the oldest windows beyond maxClosedRows, acknowledged ones first.
+func (l *Ledger) evictRecords() {
+	for l.Rows > maxClosedRows && len(l.Closed) > 1 {
+		at := slices.IndexFunc(l.Closed, func(r Record) bool { return r.Acknowledged })
 		at = max(0, at)
 		l.Rows -= len(l.Closed[at].Counts)
 		l.Closed = slices.Delete(l.Closed, at, at+1)
 	}
 }
 
-// Forget drops windows that were taken and ended before a time.
-func (l *Ledger) Forget(before Window) {
+// DropBefore drops the acknowledged windows before the given one.
+func (l *Ledger) DropBefore(before Window) {
 	kept := make([]Record, 0, len(l.Closed))
 	for _, r := range l.Closed {
-		if r.Taken && r.Window < before {
+		if r.Acknowledged && r.Window < before {
 			l.Rows -= len(r.Counts)
 			continue
 		}
@@ -199,39 +200,40 @@
 	return l.Closed[at], true
 }
 
-// find returns the place of a closed window.
+// find returns the index of a closed window.
 func (l *Ledger) find(w Window) (at int, ok bool) {
 	return slices.BinarySearchFunc(l.Closed, w, func(r Record, w Window) int { return cmp.Compare(r.Window, w) })
 }
 
-// Taken notes that a window was acknowledged.
-func (l *Ledger) Taken(w Window) {
+// Acknowledge marks a closed window as acknowledged.
+func (l *Ledger) Acknowledge(w Window) {
 	at, ok := l.find(w)
-	if !ok || l.Closed[at].Taken {
+	if !ok || l.Closed[at].Acknowledged {
 		return
 	}
 	l.Closed = slices.Clone(l.Closed)
-	l.Closed[at].Taken = true
+	l.Closed[at].Acknowledged = true
 }
 
-// View is what readers outside the log need to know. It shares nothing that changes.
+// View is a snapshot of the ledger for readers. It shares no mutable data with the
+// ledger.
 type View struct {
-	// Through is the last window that was closed; FirstOpen the first one with counts
-	// after it, zero without one.
+	// Through is the last closed window; FirstOpen is the first open window with counts,
+	// zero if there is none.
 	Through, FirstOpen Window
-	// Closed are the closed windows that are kept. Read only.
+	// Closed holds the closed windows that are kept. It must not be modified.
 	Closed []Record
 	Late   uint64
-	// Open is how many windows have counts and are not closed.
+	// Open is the number of open windows with counts.
 	Open int
-	// complete has the last complete window of each process.
+	// complete holds the last complete window of each process.
 	complete map[string]Window
 }
 
-// View returns a copy of what readers need.
+// View returns a snapshot for readers.
 func (l *Ledger) View() View {
-	v := View{Through: l.Through, Closed: l.Closed, Late: l.Late, Open: len(l.Open), complete: make(map[string]Window, len(l.Tellers))}
-	for name, t := range l.Tellers {
+	v := View{Through: l.Through, Closed: l.Closed, Late: l.Late, Open: len(l.Open), complete: make(map[string]Window, len(l.Reporters))}
+	for name, t := range l.Reporters {
 		v.complete[name] = t.Through
 	}
 	if len(l.Open) > 0 {
@@ -240,10 +242,10 @@
 	return v
 }
 
-// Missing counts the processes that have not told everything up to a window.
-func (v *View) Missing(tellers []string, w Window) int {
+// Missing returns how many of the processes have not reported everything up to a window.
+func (v *View) Missing(reporters []string, w Window) int {
 	n := 0
-	for _, t := range tellers {
+	for _, t := range reporters {
 		if v.complete[t] < w {
 			n++
 		}
@@ -251,9 +253,9 @@
 	return n
 }
 
-// Untaken returns the first closed window that nobody has acknowledged.
-func (v *View) Untaken() (Record, bool) {
-	at := slices.IndexFunc(v.Closed, func(r Record) bool { return !r.Taken })
+// FirstUnacknowledged returns the first closed window that is not acknowledged.
+func (v *View) FirstUnacknowledged() (Record, bool) {
+	at := slices.IndexFunc(v.Closed, func(r Record) bool { return !r.Acknowledged })
 	if at < 0 {
 		return Record{}, false
 	}
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -13,71 +13,71 @@
 
 func agreed(t time.Time) time.Time { return t }
 
-func TestAReportCountsOnce(t *testing.T) {
+func TestReportCountsOnce(t *testing.T) {
 	var l Ledger
 	m := NewMeter("a", length, 0)
-	m.Began(begin, "x", begin)
-	m.Began(begin, "x", begin)
-	r := m.Next(begin.Add(length), agreed)
-	l.Take(*r)
-	l.Take(*r) // its acknowledgement was lost
-	if again := m.Next(begin.Add(length), agreed); again.Number != r.Number {
-		t.Fatalf("report %d follows %d, which has no acknowledgement", again.Number, r.Number)
+	m.RecordRun(begin, "x", begin)
+	m.RecordRun(begin, "x", begin)
+	r := m.NextReport(begin.Add(length), agreed)
+	l.Apply(*r)
+	l.Apply(*r) // sent again after a lost acknowledgement
+	if again := m.NextReport(begin.Add(length), agreed); again.Number != r.Number {
+		t.Fatalf("report %d was sent before the acknowledgement of %d", again.Number, r.Number)
 	}
 	m.Acknowledged(l.Number("a"))
 	w := WindowAt(begin, length)
 	if v := l.View(); v.Missing([]string{"a"}, w) > 0 {
-		t.Error("everything of the window was told, and it is not complete")
+		t.Error("the window is fully reported but not complete")
 	}
 	if rec, _ := l.Close(w); rec.Counts["x"] != 2 {
-		t.Errorf("counts %v of two runs", rec.Counts)
+		t.Errorf("counts %v for two runs", rec.Counts)
 	}
 }
 
-func TestAClosedWindowNeverChanges(t *testing.T) {
+func TestClosedWindowNeverChanges(t *testing.T) {
 	var l Ledger
 	w := WindowAt(begin, length)
-	l.Take(Report{Teller: "a", Number: 1, Rows: []Row{{w, "x", 3}}})
+	l.Apply(Report{Reporter: "a", Number: 1, Rows: []Row{{w, "x", 3}}})
 	l.Close(w)
-	l.Take(Report{Teller: "b", Number: 1, Rows: []Row{{w, "x", 2}}})
+	l.Apply(Report{Reporter: "b", Number: 1, Rows: []Row{{w, "x", 2}}})
 	rec, ok := l.Close(w)
 	if !ok || rec.Counts["x"] != 3 || l.Late != 2 {
 		t.Errorf("%v, %d late", rec, l.Late)
 	}
 	if _, ok := l.Close(w - 1); ok {
-		t.Error("a window that was passed over has counts")
+		t.Error("a skipped window has counts")
 	}
 }
 
-func TestTakenWindowsAreForgottenFirst(t *testing.T) {
+func TestAcknowledgedWindowsAreDroppedFirst(t *testing.T) {
 	var l Ledger
 	w := WindowAt(begin, length)
 	for i := range Window(3) {
-		l.Take(Report{Teller: "a", Number: uint64(i + 1), Rows: []Row{{w + i, "x", 1}}})
+		l.Apply(Report{Reporter: "a", Number: uint64(i + 1), Rows: []Row{{w + i, "x", 1}}})
 		l.Close(w + i)
 	}
-	l.Taken(w + 1)
-	l.Forget(w + 3)
+	l.Acknowledge(w + 1)
+	l.DropBefore(w + 3)
 	if len(l.Closed) != 2 || l.Closed[0].Window != w {
 		t.Errorf("kept %v", l.Closed)
 	}
 	v := l.View()
-	if r, ok := v.Untaken(); !ok || r.Window != w {
-		t.Errorf("the first window that nobody has taken: %v", r)
+	if r, ok := v.FirstUnacknowledged(); !ok || r.Window != w {
+		t.Errorf("first unacknowledged window: %v", r)
 	}
 }
 
-// TestWindowsFollowTheMiddleClock: some clocks jump by seconds, and the agreed time stays.
-func TestWindowsFollowTheMiddleClock(t *testing.T) {
-	var m Median
+// Some clocks jump by seconds; the agreed time must not change.
+func TestAgreedTimeIsMedianOfClocks(t *testing.T) {
+	var m ClockMedian
 	for i := range 7 {
 		off := 0 * time.Second
 		if i < 3 {
 			off = 20 * time.Second
 		}
-		m.Note(begin, fmt.Sprint(i), begin.Add(time.Hour+off))
+		m.Record(begin, fmt.Sprint(i), begin.Add(time.Hour+off))
 		if _, ok := m.Offset(begin, 7); ok && i < 3 {
-			t.Error("agreed on by less than half")
+			t.Error("the time was agreed on by fewer than half of the instances")
 		}
 	}
 	if off, ok := m.Offset(begin, 7); !ok || off != time.Hour {
@@ -85,17 +85,17 @@
 	}
 	var c Clock
 	for i := range 20 {
-		told := begin.Add(time.Duration(i) * time.Second)
+		sent := begin.Add(time.Duration(i) * time.Second)
 		late := time.Duration(i%4) * 10 * time.Millisecond
-		c.Set(told.Add(late), told)
+		c.Set(sent.Add(late), sent)
 	}
 	if at, ok := c.At(begin); !ok || at.Sub(begin).Abs() > 20*time.Millisecond {
 		t.Errorf("agreed time is off by %v", at.Sub(begin))
 	}
 }
 
-// TestRandomSchedules plays reports that are lost, repeated, late and out of order, and
-// tellers that start anew: what was acknowledged counts once, nothing counts twice, and a
+// Random schedules of reports that are lost, repeated, late and out of order, from
+// processes that restart. Acknowledged runs count once, nothing counts twice, and a
 // closed window keeps its counts.
 func TestRandomSchedules(t *testing.T) {
 	for seed := range uint64(300) {
@@ -105,13 +105,13 @@
 	}
 }
 
-// waiting counts what a meter has that the ledger has not counted.
-func waiting(m *Meter, l *Ledger) uint64 {
+// pending returns the number of runs of a meter that the ledger has not counted.
+func pending(m *Meter, l *Ledger) uint64 {
 	n := uint64(len(m.runs))
 	for _, runs := range m.rows {
 		n += uint64(runs)
 	}
-	if m.sent != nil && l.Number(m.teller) < m.sent.Number {
+	if m.sent != nil && l.Number(m.reporter) < m.sent.Number {
 		for _, row := range m.sent.Rows {
 			n += uint64(row.Runs)
 		}
@@ -122,7 +122,7 @@
 func schedule(random *rand.Rand) error {
 	var l Ledger
 	closed := map[Window]string{}
-	var noted, lost uint64
+	var recorded, lost uint64
 	starts := 0
 	start := func() *Meter {
 		starts++
@@ -133,25 +133,25 @@
 	for now := begin; now.Sub(begin) < time.Minute; now = now.Add(100 * time.Millisecond) {
 		i := random.IntN(len(meters))
 		m := meters[i]
-		m.Began(now, string(rune('p'+random.IntN(3))), now)
-		noted++
-		report := *m.Next(now, agreed)
+		m.RecordRun(now, string(rune('p'+random.IntN(3))), now)
+		recorded++
+		report := *m.NextReport(now, agreed)
 		switch random.IntN(6) {
 		case 0: // lost
 		case 1:
 			late = append(late, report)
 		case 2:
-			l.Take(report) // its answer is lost
+			l.Apply(report) // the response is lost
 		default:
-			l.Take(report)
-			m.Acknowledged(l.Number(report.Teller))
+			l.Apply(report)
+			m.Acknowledged(l.Number(report.Reporter))
 		}
 		if len(late) > 0 && random.IntN(4) == 0 {
-			l.Take(late[0])
+			l.Apply(late[0])
 			late = late[1:]
 		}
 		if random.IntN(60) == 0 {
-			lost += waiting(m, &l)
+			lost += pending(m, &l)
 			meters[i] = start()
 		}
 		w := WindowAt(now, length) - 1
@@ -169,10 +169,10 @@
 		all += sum(open)
 	}
 	for _, m := range meters {
-		lost += waiting(m, &l)
+		lost += pending(m, &l)
 	}
-	if all > noted || all+lost < noted {
-		return fmt.Errorf("%d noted; %d counted or late, %d lost or waiting", noted, all, lost)
+	if all > recorded || all+lost < recorded {
+		return fmt.Errorf("%d recorded; %d counted or late, %d lost or pending", recorded, all, lost)
 	}
 	return nil
 }
--- a/daemon/routed_pages.go
+++ b/daemon/routed_pages.go
@@ -52,7 +52,7 @@
 			break
 		}
 		end := x.Window.End(length).UTC()
-		page.Records = append(page.Records, api.UsageRecord{Window: int64(x.Window), Begin: end.Add(-length), End: end, Counts: x.Counts, Taken: x.Taken})
+		page.Records = append(page.Records, api.UsageRecord{Window: int64(x.Window), Begin: end.Add(-length), End: end, Counts: x.Counts, Taken: x.Acknowledged})
 	}
 	writeJSON(w, page)
 }
@@ -97,7 +97,7 @@
 func untaken(v *usage.View) int {
 	n := 0
 	for _, r := range v.Closed {
-		if !r.Taken {
+		if !r.Acknowledged {
 			n++
 		}
 	}
--- a/daemon/usage/collector.go
+++ b/daemon/usage/collector.go
@@ -43,7 +43,7 @@
 	mu       sync.Mutex
 	gathered []usage.Report
 	waiting  []chan gathered
-	median   usage.Median
+	median   usage.ClockMedian
 	demands  capacity.Demands
 }
 
@@ -117,7 +117,7 @@
 			if x.err != nil {
 				return nil, x.err
 			}
-			counted = x.counted[req.Report.Teller]
+			counted = x.counted[req.Report.Reporter]
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -130,7 +130,7 @@
 func (c *Collector) take(now time.Time, req *tellRequest) (<-chan gathered, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.median.Note(now, req.Instance, time.Unix(0, req.TimeOfDay))
+	c.median.Record(now, req.Instance, time.Unix(0, req.TimeOfDay))
 	c.demands.Update(now, req.Demands)
 	if req.Report == nil {
 		return nil, nil
--- a/daemon/usage/reporter.go
+++ b/daemon/usage/reporter.go
@@ -66,7 +66,7 @@
 		r.reach.Begin(now)
 	}
 	d := r.opt.State()
-	if record, ok := d.Usage.Untaken(); ok {
+	if record, ok := d.Usage.FirstUnacknowledged(); ok {
 		if !now.Before(r.notBefore) {
 			r.report(ctx, t, record.Window, &d.Usage)
 		}
--- a/daemon/usage/teller.go
+++ b/daemon/usage/teller.go
@@ -82,7 +82,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.meter.Began(boottime.Now().Add(-ago), customer, time.Now().Add(-ago))
+	t.meter.RecordRun(boottime.Now().Add(-ago), customer, time.Now().Add(-ago))
 }
 
 // Now returns the agreed time of day; ok is false while none was told.
@@ -133,7 +133,7 @@
 	req := tellRequest{Instance: t.opt.Instance, TimeOfDay: time.Now().UnixNano(), Demands: t.demands()}
 	t.mu.Lock()
 	if _, ok := t.clock.At(boottime.Now()); ok && t.opt.Counts {
-		req.Report = t.meter.Next(boottime.Now(), t.agreed)
+		req.Report = t.meter.NextReport(boottime.Now(), t.agreed)
 	}
 	t.mu.Unlock()
 	reply, err := replica.CallLeader[tellReply](ctx, t.opt.Client, methodTell, &req)
