--- a/core/capacity/targets.go
+++ b/core/capacity/targets.go
@@ -96,8 +96,8 @@
 	}
 	missing := p.requiredNow(now) - present - booting
 	for i, z := range in.Zones {
-		given := z.Reclaimable + p.booting(now, in, ServerGroup{in.Pool, z.Name, true}, z.Reclaimable)
-		if !p.isUnavailable(z.Name) && out[i].regular+given < in.Scaling.Max {
+		reclaimable := z.Reclaimable + p.booting(now, in, ServerGroup{in.Pool, z.Name, true}, z.Reclaimable)
+		if !p.isUnavailable(z.Name) && out[i].regular+reclaimable < in.Scaling.Max {
 			return // reclaimable servers are available
 		}
 	}
@@ -113,18 +113,18 @@
 }
 
 // distribute adds n one by one, in turn, to the counts that are below their maximum.
-func distribute(n int, out []target, place func(i int) (count *int, most int)) {
+func distribute(n int, out []target, place func(i int) (count *int, limit int)) {
 	for n > 0 {
-		given := false
+		added := false
 		for i := range out {
-			count, most := place(i)
-			if n > 0 && count != nil && *count < most {
+			count, limit := place(i)
+			if n > 0 && count != nil && *count < limit {
 				*count++
 				n--
-				given = true
+				added = true
 			}
 		}
-		if !given {
+		if !added {
 			return
 		}
 	}
--- a/core/duty/claimant.go
+++ b/core/duty/claimant.go
@@ -25,8 +25,8 @@
 	firstActionAt time.Time
 }
 
-// NewClaimant returns the claimant of the named process; random draws uniformly from [0,
-// 1).
+// NewClaimant returns the claimant of the named process; random draws uniformly from
+// [0, 1).
 func NewClaimant(name string, timing Timing, now time.Time, random func() float64) *Claimant {
 	c := &Claimant{name: name, timing: timing, random: random, started: now, leaseSince: now, cooldownUntil: now.Add(timing.Cooldown)}
 	c.drawJitter()
--- a/core/quarantine/evaluator.go
+++ b/core/quarantine/evaluator.go
@@ -316,9 +316,9 @@
 }
 
 // discount marks the matching crashes as discounted.
-func (r *record) discount(which func(*crash) bool) {
+func (r *record) discount(match func(*crash) bool) {
 	for i := range r.crashes {
-		if which(&r.crashes[i]) {
+		if match(&r.crashes[i]) {
 			r.crashes[i].discounted = true
 		}
 	}
--- a/core/usage/meter.go
+++ b/core/usage/meter.go
@@ -14,8 +14,8 @@
 	maxRows = 4096
 )
 
-// Meter counts the runs that one process starts and builds its reports. Times are those
-// of a monotonic clock. Not safe for concurrent use.
+// Meter counts the runs that one process observes and builds its reports. Times are
+// those of a monotonic clock. Not safe for concurrent use.
 type Meter struct {
 	reporter string
 	length   time.Duration
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -1,7 +1,7 @@
 // Package usage counts the runs of each customer in windows of the time of day that the
 // instances agree on.
 //
-// Hundreds of entries start runs, and any of them, like any instance that collects their
+// Hundreds of entries observe runs, and any of them, like any instance that collects their
 // counts, may be lost between two messages. Therefore entries send their counts in
 // numbered reports and repeat each report until it is in the replicated log. The log
 // counts each number once, and a closed window never changes.
