--- a/core/balance/admit.go
+++ b/core/balance/admit.go
@@ -104,8 +104,8 @@
 		own := p.prefillTokens(now, s, r, true)
 		first := p.slowdown.apply(scaleDuration(s.slowness, p.speed.prefillTime(float64(l.PendingPromptTokens)+own)))
 		first = max(first, s.slotWait(now, p, c, l))
-		if s.limit.Named {
-			first += s.limit.bucket.Until(now, rate(s))
+		if s.limit.Limited {
+			first += s.limit.bucket.TimeUntil(now, rate(s))
 		}
 		if first < least.First {
 			least.First, least.Stream = first, scaleDuration(s.slowness, p.streams.length())
--- a/core/balance/demand.go
+++ b/core/balance/demand.go
@@ -19,7 +19,7 @@
 	for _, s := range p.servers {
 		d.Running += s.load().Running
 	}
-	d.Withheld = b.withheld(now, p, poolName)
+	d.RateLimited = b.withheld(now, p, poolName)
 	return d
 }
 
@@ -34,7 +34,7 @@
 		}
 	}
 	for _, s := range p.servers {
-		if s.AcceptsWork() && s.limit.Named && calls > 0 {
+		if s.AcceptsWork() && s.limit.Limited && calls > 0 {
 			withheld += max(0, 1-s.limit.PerSecond*float64(takeWork)/calls)
 		}
 	}
--- a/core/balance/limit.go
+++ b/core/balance/limit.go
@@ -11,7 +11,7 @@
 
 // limitState is the known request limit of a server.
 type limitState struct {
-	ratelimit.Statement
+	ratelimit.Announced
 	bucket ratelimit.Bucket
 	// from is the peer that reported the limit; nil if this instance received it from
 	// the server.
@@ -42,10 +42,10 @@
 // RecordLimit records the request limit announced in an answer of a server.
 func (b *Balancer) RecordLimit(now time.Time, id string, l ratelimit.Limit) {
 	s := b.servers[id]
-	if s == nil || !l.Named && s.limit.Since.IsZero() {
+	if s == nil || !l.Limited && s.limit.Since.IsZero() {
 		return // most servers never announce a limit
 	}
-	if s.limit.Hear(now, l) {
+	if s.limit.Observe(now, l) {
 		b.noteLimitChange(now, s, nil)
 	}
 }
@@ -53,7 +53,7 @@
 // mergeLimits applies limits reported by another instance.
 func (b *Balancer) mergeLimits(now time.Time, from *peer, list []counts.Limit) {
 	for _, l := range list {
-		if s := b.servers[l.Server]; s != nil && s.limit.Adopt(now, l.Limit, l.Age) {
+		if s := b.servers[l.Server]; s != nil && s.limit.Merge(now, l.Limit, l.Age) {
 			b.noteLimitChange(now, s, from)
 		}
 	}
@@ -64,7 +64,7 @@
 func (b *Balancer) noteLimitChange(now time.Time, s *server, from *peer) {
 	s.limit.from = from
 	switch {
-	case !s.limit.Named:
+	case !s.limit.Limited:
 		s.limit.bucket = ratelimit.Bucket{}
 	case s.limit.bucket == ratelimit.Bucket{}:
 		s.limit.bucket = ratelimit.NewBucket(now, b.bucketPhase(s.ID))
@@ -103,10 +103,10 @@
 // limitShare returns this instance's share of the request limits of a pool's servers.
 func (b *Balancer) limitShare(now time.Time, poolName string) float64 {
 	p := b.pool(poolName)
-	k := ratelimit.Known{Own: p.calls.rate(now), Instances: b.instances}
+	k := ratelimit.CallRates{Own: p.calls.rate(now), Instances: b.instances}
 	for _, x := range b.peers {
 		if x.fresh(now) {
-			k.Heard = true
+			k.OthersKnown = true
 			k.Others += x.rates[poolName].Calls
 		}
 	}
@@ -118,7 +118,7 @@
 func (b *Balancer) filterLimited(now time.Time, poolName string, list []*server, skipLimited bool) []*server {
 	rate := b.limitRates(now, poolName)
 	return slices.DeleteFunc(list, func(s *server) bool {
-		return s.limit.Named && (skipLimited || s.limit.bucket.Until(now, rate(s)) > 0)
+		return s.limit.Limited && (skipLimited || s.limit.bucket.TimeUntil(now, rate(s)) > 0)
 	})
 }
 
@@ -129,7 +129,7 @@
 func unconfirmed(now time.Time, list []*server) []*server {
 	var out []*server
 	for _, s := range list {
-		if s.limit.Unconfirmed(now) {
+		if s.limit.Stale(now) {
 			out = append(out, s)
 		}
 	}
@@ -138,7 +138,7 @@
 
 // takeToken consumes a token if the server is limited.
 func (b *Balancer) takeToken(now time.Time, s *server) {
-	if s.limit.Named {
+	if s.limit.Limited {
 		s.limit.bucket.Take(now, b.limitRates(now, s.Pool)(s))
 		s.limit.sent++
 	}
@@ -156,17 +156,17 @@
 	var all, tokens float64
 	soonest := time.Duration(math.MaxInt64)
 	for _, s := range usable(now, b.pool(poolName).servers, exclude) {
-		if !s.limit.Named {
+		if !s.limit.Limited {
 			continue
 		}
 		limited = true
 		r := rate(s)
 		all += r
 		tokens += s.limit.bucket.Tokens(now, r) - partialToken
-		soonest = min(soonest, s.limit.bucket.Until(now, r))
+		soonest = min(soonest, s.limit.bucket.TimeUntil(now, r))
 	}
 	if ahead == 0 || !limited {
 		return soonest, limited
 	}
-	return max(soonest, ratelimit.TimeFor(float64(1+ahead)-tokens, all)), true
+	return max(soonest, ratelimit.RefillTime(float64(1+ahead)-tokens, all)), true
 }
--- a/core/balance/limit_test.go
+++ b/core/balance/limit_test.go
@@ -10,7 +10,7 @@
 
 // perSecond returns a limit of x requests per second.
 func perSecond(x float64) ratelimit.Limit {
-	l, _ := ratelimit.Named(x)
+	l, _ := ratelimit.NewLimit(x)
 	return l
 }
 
@@ -118,7 +118,7 @@
 	again := append(list[:0:0], list...)
 	again[0].ID += "-again"
 	b.SetFleet(again)
-	if b.servers[again[0].ID].limit.Named {
+	if b.servers[again[0].ID].limit.Limited {
 		t.Error("a restarted server has the limit of its previous start")
 	}
 }
@@ -172,14 +172,14 @@
 		now = now.Add(time.Second / 12)
 		b.RecordArrival(now, "p", plain)
 	}
-	if d := b.Demand(now, "p"); d.Withheld != 0 {
-		t.Errorf("%g servers withheld without limits", d.Withheld)
+	if d := b.Demand(now, "p"); d.RateLimited != 0 {
+		t.Errorf("%g servers withheld without limits", d.RateLimited)
 	}
 	b.RecordLimit(now, list[0].ID, perSecond(0.5))
 	b.RecordLimit(now, list[1].ID, perSecond(0))
 	b.RecordLimit(now, list[2].ID, perSecond(50))
-	if d := b.Demand(now, "p"); d.Withheld < 1.4 || d.Withheld > 1.6 || d.Servers() < d.Withheld {
-		t.Errorf("%g servers withheld, want 1.5", d.Withheld)
+	if d := b.Demand(now, "p"); d.RateLimited < 1.4 || d.RateLimited > 1.6 || d.Servers() < d.RateLimited {
+		t.Errorf("%g servers withheld, want 1.5", d.RateLimited)
 	}
 }
 
--- a/core/balance/report.go
+++ b/core/balance/report.go
@@ -91,12 +91,12 @@
 func (v *view) Changes() *counts.ChangeLog { return &v.b.changes }
 
 // Limit implements counts.View. A limit reported by the receiver is not sent back.
-func (v *view) Limit(slot int) ratelimit.Statement {
+func (v *view) Limit(slot int) ratelimit.Announced {
 	s := v.b.slots[slot]
 	if s == nil || s.limit.from == v.to {
-		return ratelimit.Statement{}
+		return ratelimit.Announced{}
 	}
-	return s.limit.Statement
+	return s.limit.Announced
 }
 
 // Row implements counts.View.
--- a/core/balance/state.go
+++ b/core/balance/state.go
@@ -32,7 +32,7 @@
 	out := make([]ServerState, 0, len(p.servers))
 	for _, s := range p.servers {
 		x := ServerState{ID: s.ID, Long: s.long, Slowness: s.slowness, Failures: s.health.failures, Load: s.load()}
-		if s.limit.Named {
+		if s.limit.Limited {
 			x.Limit, x.LimitSince, x.LimitRate, x.LimitSent = s.limit.Limit, s.limit.Since, rate(s), s.limit.sent
 		}
 		out = append(out, x)
--- a/core/counts/sender.go
+++ b/core/counts/sender.go
@@ -38,7 +38,7 @@
 	Row(slot int) (id string, row Row)
 	// Limit returns the last announcement of the slot's server on its request rate; Since
 	// is zero when there is none to send.
-	Limit(slot int) ratelimit.Statement
+	Limit(slot int) ratelimit.Announced
 	// Version returns another number whenever Row or Limit return something else than
 	// before, so that an unchanged slot costs next to nothing.
 	Version(slot int) uint64
@@ -201,7 +201,7 @@
 
 // limit encodes the last announcement of a slot's server if that has not been sent, and
 // returns the number of limits.
-func (s *Sender) limit(out *[]byte, l ratelimit.Statement, t *sentSlot, now time.Time) int {
+func (s *Sender) limit(out *[]byte, l ratelimit.Announced, t *sentSlot, now time.Time) int {
 	if t.id == "" || l.Since.IsZero() || l.Since.Equal(t.limitSince) {
 		return 0
 	}
--- a/core/state/command.go
+++ b/core/state/command.go
@@ -74,12 +74,12 @@
 	Withdrawals []fleet.Withdrawal `msgpack:"x,omitempty"`
 	// Register holds a single server, as in logs written by older versions; Servers
 	// holds a batch.
-	Register *fleet.Server      `msgpack:"g,omitempty"`
-	Servers  []fleet.Server     `msgpack:"v,omitempty"`
-	Ruling   *quarantine.Ruling `msgpack:"u,omitempty"`
-	Duty     *DutyCommand       `msgpack:"y,omitempty"`
-	Effect   *EffectCommand     `msgpack:"a,omitempty"`
-	Reports  []usage.Report     `msgpack:"p,omitempty"`
+	Register *fleet.Server        `msgpack:"g,omitempty"`
+	Servers  []fleet.Server       `msgpack:"v,omitempty"`
+	Ruling   *quarantine.Decision `msgpack:"u,omitempty"`
+	Duty     *DutyCommand         `msgpack:"y,omitempty"`
+	Effect   *EffectCommand       `msgpack:"a,omitempty"`
+	Reports  []usage.Report       `msgpack:"p,omitempty"`
 }
 
 // CallCommand holds the parameters of the commands about one call.
--- a/core/state/duties_test.go
+++ b/core/state/duties_test.go
@@ -24,7 +24,7 @@
 }
 
 func report(number uint64, w usage.Window, runs uint32) *Command {
-	return &Command{Type: CommandUsage, Reports: []usage.Report{{Teller: "a", Number: number, Rows: []usage.Row{{Window: w, Customer: "x", Runs: runs}}}}}
+	return &Command{Type: CommandUsage, Reports: []usage.Report{{Reporter: "a", Number: number, Rows: []usage.Row{{Window: w, Customer: "x", Runs: runs}}}}}
 }
 
 // A replica restored from a snapshot continues like one that was never restarted, also
@@ -59,7 +59,7 @@
 	m := New()
 	former := holder(t, m, "a")
 	holder(t, m, "b")
-	order := &capacity.Order{Subject: capacity.Subject{Pool: "p", Zone: "z"}, Count: 4}
+	order := &capacity.Order{ServerGroup: capacity.ServerGroup{Pool: "p", Zone: "z"}, Count: 4}
 	r := apply(t, m, &Command{Type: CommandEffect, Effect: &EffectCommand{Duty: "usage", Holder: "a", Term: former, Close: 7, Order: order}})
 	d := m.Duties()
 	if r.Code != CodeStale || r.Fence != 0 || d.Usage.Through != 0 || len(d.Orders) != 0 {
--- a/core/state/quarantine_test.go
+++ b/core/state/quarantine_test.go
@@ -8,9 +8,9 @@
 	"cardamomwick.example/core/quarantine"
 )
 
-func rule(m *Machine, nowMillis int64, name string, s quarantine.Standing, version uint64) {
+func rule(m *Machine, nowMillis int64, name string, s quarantine.Status, version uint64) {
 	r := quarantine.Request{URI: name}
-	m.Apply((&Command{Type: CommandRuling, NowMillis: nowMillis, Ruling: &quarantine.Ruling{Digest: r.Digest(), Standing: s, Version: version}}).Encode())
+	m.Apply((&Command{Type: CommandRuling, NowMillis: nowMillis, Ruling: &quarantine.Decision{Digest: r.Digest(), Status: s, Version: version}}).Encode())
 }
 
 func TestHighestRulingVersionWins(t *testing.T) {
@@ -23,8 +23,8 @@
 	}
 	rule(m, 4000, "q", quarantine.Cleared, 3)
 	rule(m, 5000, "q", quarantine.Held, 2)
-	if list := m.Rulings(); len(list) != 1 || list[0].Ruling.Standing != quarantine.Cleared {
-		t.Errorf("rulings are %+v, want one with standing Cleared", list)
+	if list := m.Rulings(); len(list) != 1 || list[0].Ruling.Status != quarantine.Cleared {
+		t.Errorf("rulings are %+v, want one with status Cleared", list)
 	}
 }
 
@@ -36,9 +36,9 @@
 	if err := restored.Restore(m.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	got := restored.Rulings()[0].RulingAt(1000 + quarantine.FirstHold.Milliseconds()/2)
-	if got.Age != quarantine.FirstHold/2 || got.Standing != quarantine.Held {
-		t.Errorf("restored ruling is %+v, want Held with age %v", got, quarantine.FirstHold/2)
+	got := restored.Rulings()[0].RulingAt(1000 + quarantine.InitialHold.Milliseconds()/2)
+	if got.Age != quarantine.InitialHold/2 || got.Status != quarantine.Held {
+		t.Errorf("restored ruling is %+v, want Held with age %v", got, quarantine.InitialHold/2)
 	}
 	rule(restored, time.Hour.Milliseconds(), "other", quarantine.Held, 1)
 	if n := len(restored.Rulings()); n != 1 {
--- a/daemon/routed_duties.go
+++ b/daemon/routed_duties.go
@@ -57,7 +57,7 @@
 
 func (d *Routed) addOrderer(to provider.Client, client *replica.Client) {
 	t := d.settings.Tuned().Capacity
-	d.orderer = capacity.New(capacity.Options{Policy: core.Policy{Reserve: t.Reserve, Regular: t.RegularShare, MostPrice: t.MostPrice},
+	d.orderer = capacity.New(capacity.Options{Policy: core.Policy{Reserve: t.Reserve, RegularShare: t.RegularShare, MaxPrice: t.MostPrice},
 		Provider: to, Declaration: d.control.Declaration, Servers: d.control.Servers, State: d.replica.Duties,
 		Demands: func(ctx context.Context) ([]core.Demand, error) { return usage.Demands(ctx, client) }})
 	d.addRunner(capacity.DutyName, client, d.orderer)
@@ -65,7 +65,7 @@
 
 func (d *Routed) addRunner(name string, client *replica.Client, w duties.Work) {
 	r := duties.New(duties.Options{Duty: name, Owner: d.gossip.Self().Owner(), Instance: d.settings.Instance.Name,
-		Rules: duty.RulesFor(d.settings.Tuned().Provider.Exclusive), Log: client, State: d.replica.Duties, Work: w})
+		Rules: duty.TimingFor(d.settings.Tuned().Provider.Exclusive), Log: client, State: d.replica.Duties, Work: w})
 	d.runners = append(d.runners, r)
 	d.services = append(d.services, r)
 }
--- a/daemon/routed_pages.go
+++ b/daemon/routed_pages.go
@@ -52,7 +52,7 @@
 			break
 		}
 		end := x.Window.End(length).UTC()
-		page.Records = append(page.Records, api.UsageRecord{Window: int64(x.Window), Begin: end.Add(-length), End: end, Counts: x.Counts, Acknowledged: x.Taken})
+		page.Records = append(page.Records, api.UsageRecord{Window: int64(x.Window), Begin: end.Add(-length), End: end, Counts: x.Counts, Acknowledged: x.Acknowledged})
 	}
 	writeJSON(w, page)
 }
@@ -82,7 +82,7 @@
 	page := api.LimitsPage{Limits: []api.ServerLimit{}, Waiting: d.router.WaitingForLimits()}
 	for pool, list := range d.router.Beliefs() {
 		for _, b := range list {
-			if b.Limit.Named {
+			if b.Limit.Limited {
 				page.Limits = append(page.Limits, api.ServerLimit{Pool: pool, Server: b.ID, PerSecond: b.Limit.PerSecond,
 					Since: b.LimitSince, Share: b.LimitRate, Sent: b.LimitSent})
 			}
@@ -97,7 +97,7 @@
 func untaken(v *usage.View) int {
 	n := 0
 	for _, r := range v.Closed {
-		if !r.Taken {
+		if !r.Acknowledged {
 			n++
 		}
 	}
