--- a/core/state/command.go
+++ b/core/state/command.go
@@ -46,8 +46,8 @@
 	CommandWithdraw
 	// CommandRegister stores backend servers that have announced themselves.
 	CommandRegister
-	// CommandRuling stores a quarantine ruling.
-	CommandRuling
+	// CommandDecision stores a quarantine decision.
+	CommandDecision
 	// CommandDuty claims or releases a duty's lease.
 	CommandDuty
 	// CommandEffect records a duty's side effect before it is sent and assigns its
@@ -61,7 +61,7 @@
 type Command struct {
 	Type CommandType `msgpack:"t"`
 	// NowMillis is the leader's wall clock in Unix milliseconds. The state machine
-	// keeps the maximum, for retention, rate limits, ruling ages and fencing tokens.
+	// keeps the maximum, for retention, rate limits, decision ages and fencing tokens.
 	NowMillis int64               `msgpack:"n"`
 	Operators map[string]string   `msgpack:"o,omitempty"` // CommandBootstrap: name to public key
 	Order     *bundle.SignedOrder `msgpack:"r,omitempty"`
@@ -76,7 +76,7 @@
 	// holds a batch.
 	Register *fleet.Server        `msgpack:"g,omitempty"`
 	Servers  []fleet.Server       `msgpack:"v,omitempty"`
-	Ruling   *quarantine.Decision `msgpack:"u,omitempty"`
+	Decision *quarantine.Decision `msgpack:"u,omitempty"`
 	Duty     *DutyCommand         `msgpack:"y,omitempty"`
 	Effect   *EffectCommand       `msgpack:"a,omitempty"`
 	Reports  []usage.Report       `msgpack:"p,omitempty"`
--- a/core/state/fuzz_test.go
+++ b/core/state/fuzz_test.go
@@ -15,7 +15,7 @@
 		{Type: CommandWithdraw, Withdraw: &fleet.Withdrawal{ServerID: "a", Phase: fleet.Departed}},
 		{Type: CommandRegister, Servers: []fleet.Server{{ID: "b", Pool: "p"}, {ID: "c@1", Name: "c", StartedAt: 1}}},
 		{Type: CommandRegister, Register: &fleet.Server{ID: "a@7", Name: "a", StartedAt: 7, Pool: "p"}},
-		{Type: CommandRuling, Ruling: &quarantine.Decision{Status: quarantine.Held, Version: 2, Servers: []string{"a"}}},
+		{Type: CommandDecision, Decision: &quarantine.Decision{Status: quarantine.Held, Version: 2, Servers: []string{"a"}}},
 		{Type: CommandOrderLease, Lease: &LeaseCommand{Owner: "x"}},
 		{Type: CommandClaim, Call: &CallCommand{CallID: "c", Owner: "o", Key: CallKey{Key: "k", Millis: 5}}},
 	} {
--- a/core/state/machine.go
+++ b/core/state/machine.go
@@ -54,8 +54,8 @@
 		return m.routing.register([]fleet.Server{*c.Register})
 	case c.Type == CommandRegister:
 		return m.routing.register(c.Servers)
-	case c.Type == CommandRuling && c.Ruling != nil:
-		return m.quarantine.storeRuling(*c.Ruling, m.nowMillis)
+	case c.Type == CommandDecision && c.Decision != nil:
+		return m.quarantine.storeDecision(*c.Decision, m.nowMillis)
 	case c.Type == CommandDuty && c.Duty != nil:
 		return m.duties.claim(c.Duty)
 	case c.Type == CommandEffect && c.Effect != nil:
--- a/core/state/quarantine.go
+++ b/core/state/quarantine.go
@@ -7,57 +7,60 @@
 	"cardamomwick.example/core/quarantine"
 )
 
-// maxRulings limits the stored rulings; the oldest are dropped first. It equals the
+// maxDecisions limits the stored decisions; the oldest are dropped first. It equals the
 // limit of an instance.
-const maxRulings = 512
+const maxDecisions = 512
 
-// StoredRuling is a quarantine ruling that must survive a restart of all instances.
-// Without it, a quarantined request would crash three more servers after each restart.
-type StoredRuling struct {
-	Ruling quarantine.Decision `msgpack:"r"`
+// StoredDecision is a quarantine decision that must survive a restart of all instances.
+// Without it, a held request would crash three more servers after each restart.
+type StoredDecision struct {
+	Decision quarantine.Decision `msgpack:"r"`
 	// DecidedMillis is the time of the decision by the group's clock. A clock skew of
-	// seconds is negligible for a quarantine of minutes.
+	// seconds is negligible for a hold of minutes.
 	DecidedMillis int64 `msgpack:"m"`
 }
 
-// RulingAt returns the ruling with its age at the given time in Unix milliseconds.
-func (h *StoredRuling) RulingAt(nowMillis int64) quarantine.Decision {
-	x := h.Ruling
-	x.Age = time.Duration(max(0, nowMillis-h.DecidedMillis)) * time.Millisecond
+// DecisionAt returns the decision with its age at the given time in Unix milliseconds.
+func (d *StoredDecision) DecisionAt(nowMillis int64) quarantine.Decision {
+	x := d.Decision
+	x.Age = time.Duration(max(0, nowMillis-d.DecidedMillis)) * time.Millisecond
 	return x
 }
 
-// quarantineState holds the quarantine rulings.
+// quarantineState holds the quarantine decisions.
 type quarantineState struct {
-	Rulings []StoredRuling `msgpack:"h"`
-	// Revision increases with every change of Rulings.
+	Decisions []StoredDecision `msgpack:"h"`
+	// Revision increases with every change of Decisions.
 	Revision uint64 `msgpack:"r"`
 }
 
-// storeRuling stores a ruling if its version is higher than the stored one's. Of equal
-// versions, a ruling that holds the request takes precedence.
-func (s *quarantineState) storeRuling(x quarantine.Decision, nowMillis int64) Result {
-	decided := StoredRuling{Ruling: x, DecidedMillis: nowMillis - x.Age.Milliseconds()}
-	decided.Ruling.Age = 0
-	at := slices.IndexFunc(s.Rulings, func(h StoredRuling) bool { return h.Ruling.Digest == x.Digest })
-	if at >= 0 {
-		old := &s.Rulings[at].Ruling
+// storeDecision stores a decision if its version is higher than the stored one's or, for
+// equal versions, if its status takes precedence.
+func (s *quarantineState) storeDecision(x quarantine.Decision, nowMillis int64) Result {
+	stored := StoredDecision{Decision: x, DecidedMillis: nowMillis - x.Age.Milliseconds()}
+	stored.Decision.Age = 0
+	i := slices.IndexFunc(s.Decisions, func(d StoredDecision) bool { return d.Decision.Digest == x.Digest })
+	if i >= 0 {
+		old := &s.Decisions[i].Decision
 		if x.Version < old.Version || x.Version == old.Version && x.Status <= old.Status {
 			return Result{Code: CodeOK}
 		}
 	}
-	s.Rulings = slices.DeleteFunc(slices.Clone(s.Rulings), func(h StoredRuling) bool { return h.Ruling.Digest == x.Digest || h.expired(nowMillis) })
-	s.Rulings = append(s.Rulings, decided)
-	s.Rulings = s.Rulings[max(0, len(s.Rulings)-maxRulings):]
+	s.Decisions = slices.DeleteFunc(slices.Clone(s.Decisions), func(d StoredDecision) bool { return d.Decision.Digest == x.Digest || d.expired(nowMillis) })
+	s.Decisions = append(s.Decisions, stored)
+	s.Decisions = s.Decisions[max(0, len(s.Decisions)-maxDecisions):]
 	s.Revision++
 	return Result{Code: CodeOK}
 }
 
-// expired reports whether the ruling no longer has any effect.
-func (h *StoredRuling) expired(nowMillis int64) bool { x := h.RulingAt(nowMillis); return x.Expired() }
+// expired reports whether the decision no longer has any effect.
+func (d *StoredDecision) expired(nowMillis int64) bool {
+	x := d.DecisionAt(nowMillis)
+	return x.Expired()
+}
 
-// Rulings returns the stored rulings. The slice is read-only.
-func (m *Machine) Rulings() []StoredRuling { return m.quarantine.Rulings }
+// Decisions returns the stored decisions. The slice is read-only.
+func (m *Machine) Decisions() []StoredDecision { return m.quarantine.Decisions }
 
-// RulingsRevision returns the current revision of the stored rulings.
-func (m *Machine) RulingsRevision() uint64 { return m.quarantine.Revision }
+// DecisionsRevision returns the current revision of the stored decisions.
+func (m *Machine) DecisionsRevision() uint64 { return m.quarantine.Revision }
--- a/core/state/routing.go
+++ b/core/state/routing.go
@@ -102,7 +102,8 @@
 	s.Revision++
 }
 
-// applyPhases updates the phases of withdrawn servers and removes departed ones.
+// applyPhases updates the phases of registered servers that are withdrawn and removes the
+// departed ones.
 func (s *routingState) applyPhases(phases map[string]fleet.Phase) {
 	s.Servers = slices.DeleteFunc(s.Servers, func(x fleet.Server) bool { return phases[x.ID] == fleet.Departed })
 	for i := range s.Servers {
--- a/daemon/control/news.go
+++ b/daemon/control/news.go
@@ -193,7 +193,7 @@
 	}
 	now := time.Now().UnixMilli()
 	for _, h := range v.Holds {
-		reply.Holds = append(reply.Holds, h.RulingAt(now))
+		reply.Holds = append(reply.Holds, h.DecisionAt(now))
 	}
 	return reply
 }
--- a/daemon/quarantine/tell.go
+++ b/daemon/quarantine/tell.go
@@ -193,7 +193,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), rememberTimeout)
 	defer cancel()
-	if _, err := k.opt.Log.Propose(ctx, &state.Command{Type: state.CommandRuling, Ruling: &x}); err != nil {
+	if _, err := k.opt.Log.Propose(ctx, &state.Command{Type: state.CommandDecision, Decision: &x}); err != nil {
 		log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "remember ruling", "request": x.Digest.String()}).Warn("it is in force, but does not outlive a restart of all instances")
 	}
 }
--- a/daemon/replica/view.go
+++ b/daemon/replica/view.go
@@ -22,7 +22,7 @@
 	Members []string
 	Routing state.Routing
 	// Holds are the rulings of the quarantine in the log, as of HoldsRevision. Read only.
-	Holds         []state.StoredRuling
+	Holds         []state.StoredDecision
 	HoldsRevision uint64
 }
 
@@ -74,7 +74,7 @@
 	if old.Routing.Revision != r.machine.RoutingRevision() {
 		v.Routing = r.machine.Routing()
 	}
-	v.Holds, v.HoldsRevision = r.machine.Rulings(), r.machine.RulingsRevision()
+	v.Holds, v.HoldsRevision = r.machine.Decisions(), r.machine.DecisionsRevision()
 	r.board.put(v)
 	if d := r.duties.Load(); d == nil || d.Revision != r.machine.DutiesRevision() {
 		d := r.machine.Duties()
