--- a/core/balance/admit.go
+++ b/core/balance/admit.go
@@ -72,7 +72,7 @@
 	if !ok {
 		return Forecast{}
 	}
-	inTime := scaleDuration(targetMargin, c.target())
+	inTime := scaleDuration(targetMargin, c.targetLatency())
 	if f.First <= inTime {
 		return f
 	}
@@ -108,28 +108,28 @@
 			first += s.limit.bucket.TimeUntil(now, rate(s))
 		}
 		if first < least.First {
-			least.First, least.Stream = first, scaleDuration(s.slowness, p.streams.length())
+			least.First, least.Stream = first, scaleDuration(s.slowness, p.streams.duration())
 		}
 	}
 	return least, least.First != math.MaxInt64
 }
 
-// slotWait estimates how long a call waits for a slot or memory. It assumes that slots
+// slotWait estimates how long a call waits for a slot or KV cache. It assumes that slots
 // become free at the rate at which streams of average length end.
 func (s *server) slotWait(now time.Time, p *pool, c Call, l Load) time.Duration {
 	if s.Slots == 0 || !s.isFull(now, p, c, l) {
 		return 0
 	}
 	surplus := max(1, l.Running-s.Slots+1)
-	return scaleDuration(s.slowness*float64(surplus)/float64(s.Slots), p.streams.length())
+	return scaleDuration(s.slowness*float64(surplus)/float64(s.Slots), p.streams.duration())
 }
 
-// isFull reports whether the server lacks the slots or the memory for one more call.
+// isFull reports whether the server lacks the slots or the KV cache for one more call.
 func (s *server) isFull(now time.Time, p *pool, c Call, l Load) bool {
 	limit := float64(s.Slots)
 	if c.Tokens >= LongPromptTokens {
 		limit *= longPromptSlotFactor
 	}
 	return s.Slots > 0 && float64(l.Running) >= limit || now.Before(s.fullUntil) ||
-		p.memory > 0 && float64(l.KVTokens+c.memory()) > maxMemoryUse*float64(p.memory)
+		p.kvTokens > 0 && float64(l.KVTokens+c.kvTokens()) > maxKVUse*float64(p.kvTokens)
 }
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -7,7 +7,7 @@
 // engines are therefore partitioned into a long side, for long prompts, and a short
 // side, for all other calls; the boundary follows the prompt tokens that arrive for
 // each side. Within a side, rendezvous hashing sends a call to the engine that is
-// likely to have its shared prompt parts cached, unless that engine is backlogged.
+// likely to have its shared prompt prefixes cached, unless that engine is backlogged.
 //
 // The package is pure: time and randomness are passed in. Load is the sum of this
 // instance's own calls and the counts reported by other instances. Reports of the
@@ -26,9 +26,9 @@
 
 // Placement parameters.
 const (
-	// maxMemoryUse is the fraction of an engine's memory that running calls may use.
+	// maxKVUse is the fraction of an engine's KV cache that running calls may use.
 	// Above it the engine preempts streams and has to process their prompts again.
-	maxMemoryUse = 0.9
+	maxKVUse = 0.9
 	// peerTTL is how long another instance's counts remain valid.
 	peerTTL = 700 * time.Millisecond
 )
@@ -50,9 +50,11 @@
 	peerRow, subtreeRow counts.Row
 	fullUntil           time.Time
 	health              health
-	pace                pace
-	parts               partCache
-	// slowness is the ratio of the server's pace to the median of its pool.
+	eventInterval       eventInterval
+	// cache estimates the prefixes that the server has cached.
+	cache prefixCache
+	// slowness is the ratio of the server's event interval to the median of its pool.
+	// slow is set and cleared by the thresholds in event_interval.go.
 	slowness float64
 	slow     bool
 	// long is set if the server is on the long side.
@@ -62,30 +64,32 @@
 
 type pool struct {
 	servers []*server // in boundary order
-	memory  int
-	sides   sides
-	speed   speed
+	// kvTokens is the capacity of one engine's KV cache; zero for pools without engines.
+	kvTokens int
+	sides    sides
+	speed    speed
 	// lowestTier is the tier of the pool's least urgent prompts.
 	lowestTier int
-	// usualInterval is the moving average of the time between two events.
-	usualInterval time.Duration
-	streams       longStreams
+	// meanEventInterval is the moving average of the values that streams contribute to the
+	// servers' eventInterval.
+	meanEventInterval time.Duration
+	streams           longStreams
 	// slowdown is the ratio of actual prefill times to those of an idle engine.
 	slowdown slowdown
-	// latestHolder maps a shared part to the server that most recently received it.
-	latestHolder map[partKey]*server
-	// cacheLifetime is how long engines are expected to cache a part after its last
+	// latestHolder maps a shared prefix to the server that most recently received it.
+	latestHolder map[prefixKey]*server
+	// cacheLifetime is how long engines are expected to cache a prefix after its last
 	// use.
 	cacheLifetime time.Duration
-	// missShare is the moving average of the fraction of shared tokens not found in
-	// the cache.
+	// missShare is the moving average of the fraction of shared tokens that are not
+	// cached where the call is placed.
 	missShare float64
 	// longLoad is the prefill demand on the long side as a fraction of its capacity.
 	longLoad float64
 	// meanUnshared is the average number of unshared tokens of a long prompt.
 	meanUnshared float64
-	// cacheViewComplete is set once this instance has received part uses for long
-	// enough to know which parts are cached.
+	// cacheViewComplete is set once this instance has received prefix uses for long
+	// enough to know which prefixes are cached.
 	cacheViewComplete bool
 	// calls measures the calls that arrive at this instance; limitShare tracks its
 	// share of the servers' request limits.
@@ -117,10 +121,10 @@
 	limitChanges []LimitChange
 	uses         useLog
 	advertised   advertisedBoundaries
-	// firstStream is the stream number of the first messages after the start.
+	// firstStream is the counts stream number of the first messages after the start.
 	firstStream uint32
 
-	pacesComparedAt time.Time
+	slownessUpdatedAt time.Time
 	// exchangeSince is when this instance sent its first counts.
 	exchangeSince time.Time
 }
@@ -132,11 +136,11 @@
 	return &Balancer{name: name, firstStream: start, servers: map[string]*server{}, pools: map[string]*pool{}, peers: map[string]*peer{}}
 }
 
-// SetEngines sets the memory, in tokens, of one engine of a pool and the tier of the
-// pool's least urgent prompts.
-func (b *Balancer) SetEngines(poolName string, memory, lowestTier int) {
+// SetEngines sets the capacity of the KV cache, in tokens, of one engine of a pool and
+// the tier of the pool's least urgent prompts.
+func (b *Balancer) SetEngines(poolName string, kvTokens, lowestTier int) {
 	p := b.pool(poolName)
-	p.memory, p.lowestTier = memory, lowestTier
+	p.kvTokens, p.lowestTier = kvTokens, lowestTier
 }
 
 func (b *Balancer) pool(name string) *pool {
@@ -152,7 +156,7 @@
 func (b *Balancer) RecordArrival(now time.Time, poolName string, c Call) {
 	p := b.pool(poolName)
 	p.calls.add(now, 1)
-	p.sides.arrive(now, c, c.usesLongSide(&p.speed), c.unread(p.missShare))
+	p.sides.recordArrival(now, c, c.usesLongSide(&p.speed), c.pendingPromptTokens(p.missShare))
 }
 
 // Choice is the selected server and the reasons for its selection.
@@ -169,7 +173,7 @@
 // server can take the call now. random returns uniform values from [0, 1).
 func (b *Balancer) Choose(now time.Time, poolName string, c Call, exclude func(id string) bool, random func() float64) (Choice, bool) {
 	p := b.pool(poolName)
-	b.refreshPaces(now)
+	b.refreshSlowness(now)
 	if c.Tokens > 0 {
 		b.refreshPool(now, p, poolName)
 	}
@@ -261,8 +265,8 @@
 	// ahead is the number of prompt tokens the engine had to process, up to and
 	// including this call's prompt, when the call was sent.
 	ahead float64
-	// tokens is the length of the prompt; unshared is the part that no other call
-	// shares.
+	// tokens is the length of the prompt; unshared is the number of its tokens that no
+	// other call shares.
 	tokens, unshared int
 }
 
@@ -288,14 +292,14 @@
 	}
 	p := b.pool(s.Pool)
 	r := p.request(now, c)
-	unread := p.prefillTokens(now, s, r, true)
-	t.load.PendingPromptTokens = int(unread)
+	pending := p.prefillTokens(now, s, r, true)
+	t.load.PendingPromptTokens = int(pending)
 	if t.long() {
 		p.meanUnshared = ewma(p.meanUnshared, float64(c.Unshared), missShareWeight)
 	}
 	if c.tracksCache() {
-		p.observeMissShare((unread - float64(c.Unshared)) / float64(c.shared()))
-		b.recordUses(now, s, r.parts)
+		p.observeMissShare((pending - float64(c.Unshared)) / float64(c.shared()))
+		b.recordUses(now, s, r.prefixes)
 	}
 	s.own.Add(t.load)
 	b.takeToken(now, s)
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -25,19 +25,19 @@
 }
 
 var (
-	chat  = Call{Tokens: 800, Unshared: 600, MaxOutput: 500, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond, AffinityKey: "c"}
-	scene = Call{Tokens: 12000, Unshared: 6600, MaxOutput: 500, Target: 2500 * time.Millisecond, Gap: 800 * time.Millisecond, AffinityKey: "s"}
+	chat  = Call{Tokens: 800, Unshared: 600, MaxOutput: 500, TargetLatency: 300 * time.Millisecond, TargetGap: 200 * time.Millisecond, AffinityKey: "c"}
+	scene = Call{Tokens: 12000, Unshared: 6600, MaxOutput: 500, TargetLatency: 2500 * time.Millisecond, TargetGap: 800 * time.Millisecond, AffinityKey: "s"}
 )
 
 func fixedRandom() float64 { return 0.5 }
 
-func TestSharedPartIsPlacedConsistently(t *testing.T) {
+func TestSharedPrefixIsPlacedConsistently(t *testing.T) {
 	b, _ := pool12()
 	first, _ := b.Choose(t0, "p", scene, nil, fixedRandom)
 	for range 5 {
 		got, ok := b.Choose(t0, "p", scene, nil, fixedRandom)
 		if !ok || got.ID != first.ID {
-			t.Fatalf("the shared part was placed on %s after %s", got.ID, first.ID)
+			t.Fatalf("the shared prefix was placed on %s after %s", got.ID, first.ID)
 		}
 	}
 	// Other instances select the same home server without coordination.
@@ -85,7 +85,7 @@
 
 // Events delayed in transit arrive all at once. One such stream made every other
 // engine look a thousand times slower, and a single engine received the whole load.
-func TestBufferedEventsDoNotSkewPace(t *testing.T) {
+func TestBufferedEventsDoNotSkewSlowness(t *testing.T) {
 	b, list := pool12()
 	regular, sudden := make([]time.Duration, 40), make([]time.Duration, 40)
 	for i := range regular {
@@ -98,7 +98,7 @@
 		}
 	}
 	b.RecordStream(t0, &Ticket{server: list[3].ID}, sudden)
-	b.refreshPaces(t0.Add(time.Hour))
+	b.refreshSlowness(t0.Add(time.Hour))
 	for _, s := range b.servers {
 		if s.slowness > 1.2 {
 			t.Errorf("engine %s has slowness %.1f after a buffered stream on another engine", s.ID, s.slowness)
@@ -108,7 +108,7 @@
 
 func TestSlowEnginesServeLongPrompts(t *testing.T) {
 	b, list := pool12()
-	gaps := func(d time.Duration) []time.Duration {
+	intervals := func(d time.Duration) []time.Duration {
 		out := make([]time.Duration, 20)
 		for i := range out {
 			out[i] = d
@@ -123,7 +123,7 @@
 			if i%3 == 2 {
 				d = 26 * time.Millisecond
 			}
-			b.RecordStream(now, &Ticket{server: s.ID}, gaps(d))
+			b.RecordStream(now, &Ticket{server: s.ID}, intervals(d))
 		}
 		b.RecordArrival(now, "p", scene)
 		b.Choose(now, "p", scene, nil, fixedRandom)
@@ -166,7 +166,7 @@
 		a.RecordArrival(t0, "p", chat)
 		a.RecordArrival(t0, "p", chat)
 	}
-	sendSum(t0, a, z)
+	sendCollectorReport(t0, a, z)
 	if fmt.Sprint(a.longSide(t0, "p")) != fmt.Sprint(z.longSide(t0, "p")) {
 		t.Errorf("a has %v, z has %v", a.longSide(t0, "p"), z.longSide(t0, "p"))
 	}
@@ -291,13 +291,13 @@
 			for _, b := range all {
 				for _, other := range all {
 					if other != b {
-						sendSum(now, b, other)
+						sendCollectorReport(now, b, other)
 					}
 				}
 			}
 		}
 		b := all[rnd.Intn(instances)]
-		s, _ := b.Choose(now, "p", Call{Target: 300 * time.Millisecond}, nil, rnd.Float64)
+		s, _ := b.Choose(now, "p", Call{TargetLatency: 300 * time.Millisecond}, nil, rnd.Float64)
 		open = append(open, running{b.Start(now, s.ID, Call{}), b, now.Add(work)})
 		calls++
 		if count[s.ID]++; count[s.ID] > 6 {
--- a/core/balance/call.go
+++ b/core/balance/call.go
@@ -4,8 +4,8 @@
 
 const (
 	// LongPromptTokens is the prompt length from which a call belongs to the long
-	// side. Processing two chunks of 2,048 tokens takes longer than the gap that a
-	// chat allows between two events.
+	// side. Processing two chunks of 2,048 tokens takes longer than the event
+	// interval that a chat allows.
 	LongPromptTokens = 4000
 	// initialMissShare is the cache miss share assumed before any call was observed.
 	initialMissShare = 0.2
@@ -22,37 +22,38 @@
 	Unshared int
 	// MaxOutput is the maximum number of generated tokens.
 	MaxOutput int
-	// Target is the configured time to the answer or, for streams, to its first event;
+	// TargetLatency is the configured time to the answer or, for streams, to its first event;
 	// zero if none is configured.
-	Target time.Duration
-	// Gap is the configured maximum time between two events; zero if none is
-	// configured.
-	Gap time.Duration
+	TargetLatency time.Duration
+	// TargetGap is the configured target for the longest event interval, the time between
+	// two events of a stream; zero if none is configured.
+	TargetGap time.Duration
 	// Tier is the tier of the call's route; 0 is the most urgent.
 	Tier int
-	// AffinityKey is the ID of the last shared part, or "" if there is none. It
+	// AffinityKey is the ID of the longest shared prefix, or "" if there is none. It
 	// determines the home server.
 	AffinityKey string
-	// Chain lists the shared parts in prompt order, ending with AffinityKey. If empty,
-	// all shared tokens belong to AffinityKey.
-	Chain []Part
+	// Prefixes lists the shared prefixes from the shortest to that of AffinityKey. If
+	// empty, all shared tokens belong to AffinityKey.
+	Prefixes []Prefix
 	// SkipLimited excludes servers with a request limit, because calls with precedence
 	// are waiting for them.
 	SkipLimited bool
 }
 
-// Part is a section of a prompt that other calls share.
-type Part struct {
-	ID     string
+// Prefix is a prefix of a prompt that other calls share.
+type Prefix struct {
+	ID string
+	// Tokens is the number of tokens after the next shorter shared prefix.
 	Tokens int
 }
 
-// chain returns the call's shared parts.
-func (c *Call) chain() []Part {
-	if len(c.Chain) == 0 && c.AffinityKey != "" {
-		return []Part{{c.AffinityKey, c.shared()}}
+// prefixes returns the call's shared prefixes.
+func (c *Call) prefixes() []Prefix {
+	if len(c.Prefixes) == 0 && c.AffinityKey != "" {
+		return []Prefix{{c.AffinityKey, c.shared()}}
 	}
-	return c.Chain
+	return c.Prefixes
 }
 
 // Conditions for placing short calls on the long side.
@@ -66,7 +67,7 @@
 )
 
 // usesLongSide reports whether the call belongs to the long side: long prompts, and
-// short calls that tolerate them. The latter allow a longer gap between events than a
+// short calls that tolerate them. The latter allow a longer event interval than a
 // prefill chunk takes, and their target leaves time for a long prompt to be processed
 // first. This keeps their own prefill away from chats, which occupy their slots for
 // longer the more prefill runs next to them.
@@ -74,7 +75,7 @@
 	if c.Tokens >= LongPromptTokens {
 		return true
 	}
-	return c.Gap > 0 && !c.sensitive() && s.prefillTime(assumedLongTokens).Seconds() <= maxLongWaitShare*c.target().Seconds()
+	return c.TargetGap > 0 && !c.latencySensitive() && s.prefillTime(assumedLongTokens).Seconds() <= maxLongWaitShare*c.targetLatency().Seconds()
 }
 
 // filterBySide restricts a long prompt to servers on the long side, if there are any:
@@ -95,16 +96,16 @@
 	return long
 }
 
-func (c *Call) target() time.Duration {
-	if c.Target <= 0 {
+func (c *Call) targetLatency() time.Duration {
+	if c.TargetLatency <= 0 {
 		return defaultTarget
 	}
-	return c.Target
+	return c.TargetLatency
 }
 
-// unread estimates how many tokens an engine has to process for the call, given the
-// cache miss share of shared parts.
-func (c *Call) unread(missShare float64) float64 {
+// pendingPromptTokens estimates how many tokens an engine has to process for the call,
+// given the cache miss share of shared prefixes.
+func (c *Call) pendingPromptTokens(missShare float64) float64 {
 	if !c.tracksCache() {
 		return float64(c.Unshared)
 	}
@@ -116,17 +117,19 @@
 	p.missShare += missShareWeight * (share - p.missShare)
 }
 
-// sensitiveGap is the allowed gap up to which a stream becomes late on an engine that
+// maxLatencySensitiveGap is the target up to which a stream becomes late on an engine that
 // processes prompts continuously: five tokens per event, each after a chunk of 2,048
 // tokens, take a quarter of a second on a slow engine.
-const sensitiveGap = 250 * time.Millisecond
+const maxLatencySensitiveGap = 250 * time.Millisecond
 
-func (c *Call) sensitive() bool { return c.Gap > 0 && c.Gap <= sensitiveGap }
+func (c *Call) latencySensitive() bool {
+	return c.TargetGap > 0 && c.TargetGap <= maxLatencySensitiveGap
+}
 
 // load returns the load that the call adds to its server.
 func (c *Call) load() Load {
-	l := Load{Running: 1, PendingPromptTokens: c.Unshared, KVTokens: c.memory()}
-	if c.sensitive() {
+	l := Load{Running: 1, PendingPromptTokens: c.Unshared, KVTokens: c.kvTokens()}
+	if c.latencySensitive() {
 		l.LatencySensitive = 1
 	}
 	if c.Tokens >= LongPromptTokens {
@@ -135,6 +138,6 @@
 	return l
 }
 
-// memory returns the maximum memory, in tokens, that the call uses on its engine, not
-// counting shared parts.
-func (c *Call) memory() int { return c.Unshared + c.MaxOutput }
+// kvTokens returns the maximum number of tokens that the call occupies in its engine's KV
+// cache, not counting shared prefixes.
+func (c *Call) kvTokens() int { return c.Unshared + c.MaxOutput }
--- a/core/balance/demand.go
+++ b/core/balance/demand.go
@@ -19,15 +19,15 @@
 	for _, s := range p.servers {
 		d.Running += s.load().Running
 	}
-	d.RateLimited = b.withheld(now, p, poolName)
+	d.RateLimited = b.rateLimited(now, p, poolName)
 	return d
 }
 
-// withheld returns how many servers' worth of capacity the request limits make
+// rateLimited returns how many servers' worth of capacity the request limits make
 // unavailable, assuming that the calls are spread evenly.
-func (b *Balancer) withheld(now time.Time, p *pool, poolName string) float64 {
-	calls := b.rates(now, p, poolName).Calls
-	withheld, takeWork := 0.0, 0
+func (b *Balancer) rateLimited(now time.Time, p *pool, poolName string) float64 {
+	calls := b.rates(now, p, poolName).CallsPerSecond
+	rateLimited, takeWork := 0.0, 0
 	for _, s := range p.servers {
 		if s.AcceptsWork() {
 			takeWork++
@@ -35,8 +35,8 @@
 	}
 	for _, s := range p.servers {
 		if s.AcceptsWork() && s.limit.Limited && calls > 0 {
-			withheld += max(0, 1-s.limit.PerSecond*float64(takeWork)/calls)
+			rateLimited += max(0, 1-s.limit.PerSecond*float64(takeWork)/calls)
 		}
 	}
-	return withheld
+	return rateLimited
 }
--- a/core/balance/engine_test.go
+++ b/core/balance/engine_test.go
@@ -21,22 +21,22 @@
 type streamSim struct {
 	call    Call
 	arrived time.Duration
-	unread  int
-	// toPrefill is the initial value of unread. late streams wait for those that can
+	pending int
+	// toPrefill is the initial value of pending. late streams wait for those that can
 	// still be in time.
-	toPrefill int
-	late      bool
-	context   int
-	tokens    int
-	output    int
-	first     time.Duration
-	last      time.Duration
-	worstGap  time.Duration
-	gaps      []time.Duration
-	ticket    Ticket
-	// onGap, if set, is called with each time between two events.
-	onGap func(time.Duration)
-	done  bool
+	toPrefill       int
+	late            bool
+	context         int
+	tokens          int
+	output          int
+	first           time.Duration
+	last            time.Duration
+	longestInterval time.Duration
+	intervals       []time.Duration
+	ticket          Ticket
+	// onEventInterval, if set, is called with each time between two events.
+	onEventInterval func(time.Duration)
+	done            bool
 	// cut is set if the stream exceeded callTimeout.
 	cut bool
 }
@@ -51,20 +51,20 @@
 	callTimeout    = 15 * time.Second
 )
 
-// accept adds a stream. Shared parts that are still cached are not processed again.
+// accept adds a stream. Shared prefixes that are still cached are not processed again.
 func (e *engineSim) accept(s *streamSim) (reprocessed int) {
 	if len(e.streams) == 0 {
 		e.at = max(e.at, s.arrived)
 	}
-	s.unread = s.call.Tokens
+	s.pending = s.call.Tokens
 	shared := s.call.Tokens - s.call.Unshared
 	if at, ok := e.cached[s.call.AffinityKey]; ok && s.arrived-at < cacheTime {
-		s.unread -= shared
+		s.pending -= shared
 	} else {
 		reprocessed = shared
 	}
 	e.cached[s.call.AffinityKey] = s.arrived
-	s.toPrefill = s.unread
+	s.toPrefill = s.pending
 	at := len(e.streams)
 	for at > 0 && e.streams[at-1].waits() && e.streams[at-1].rank() > s.rank() {
 		at-- // before waiting streams of lower urgency
@@ -74,7 +74,7 @@
 }
 
 // waits reports whether no part of the stream's prompt has been processed.
-func (s *streamSim) waits() bool { return s.toPrefill > 0 && s.unread == s.toPrefill }
+func (s *streamSim) waits() bool { return s.toPrefill > 0 && s.pending == s.toPrefill }
 
 // rank is the stream's priority on its engine; 0 comes first.
 func (s *streamSim) rank() int {
@@ -91,28 +91,27 @@
 func (e *engineSim) step() (began, ended []*streamSim) {
 	took := float64(stepTime)
 	left := chunkTokens
-	var read []*streamSim
 	working := e.streams
 	if e.slots > 0 {
 		working = working[:min(e.slots, len(working))]
 	}
 	for _, s := range working {
-		if s.unread == 0 || left == 0 {
+		if s.pending == 0 || left == 0 {
 			continue
 		}
-		n := min(left, s.unread)
+		n := min(left, s.pending)
 		left -= n
-		s.unread -= n
+		s.pending -= n
 		s.context += n
 		took += float64(time.Millisecond) * (float64(n)/tokensPerMilli + float64(n)*float64(s.context)/pairsPerMilli)
-		if s.unread == 0 {
-			read = append(read, s)
+		if s.pending == 0 {
+			began = append(began, s)
 		}
 	}
 	e.at += time.Duration(took * e.slow)
 	kept := e.streams[:0]
 	for i, s := range e.streams {
-		if s.unread == 0 && i < len(working) {
+		if s.pending == 0 && i < len(working) {
 			s.token(e.at)
 		}
 		s.cut = !s.done && e.at-s.arrived > callTimeout
@@ -123,7 +122,7 @@
 		kept = append(kept, s)
 	}
 	e.streams = kept
-	return read, ended
+	return began, ended
 }
 
 func (s *streamSim) token(now time.Duration) {
@@ -134,11 +133,11 @@
 	if s.first == 0 {
 		s.first = now
 	} else {
-		gap := now - s.last
-		s.gaps = append(s.gaps, gap)
-		s.worstGap = max(s.worstGap, gap)
-		if s.onGap != nil {
-			s.onGap(gap)
+		interval := now - s.last
+		s.intervals = append(s.intervals, interval)
+		s.longestInterval = max(s.longestInterval, interval)
+		if s.onEventInterval != nil {
+			s.onEventInterval(interval)
 		}
 	}
 	s.last = now
--- a/core/balance/exchange_bench_test.go
+++ b/core/balance/exchange_bench_test.go
@@ -60,9 +60,9 @@
 	z.open[i] = append(z.open[i], b.Start(now, z.list[z.rnd.Intn(len(z.list))].ID, c))
 }
 
-// BenchmarkAnswer measures a collector's cost of one report and its answer: decoding
-// and applying the report, building and encoding the answer. Sending complete tables
-// took 0.32 ms and 4.3 KB per answer for 40 members and 117 engines.
+// BenchmarkAnswer measures a collector's cost of one report and its reply: decoding
+// and applying the report, building and encoding the reply. Sending complete tables
+// took 0.32 ms and 4.3 KB per reply for 40 members and 117 engines.
 func BenchmarkAnswer(b *testing.B) {
 	for _, size := range []struct{ members, engines int }{{16, 117}, {40, 117}, {16, 2000}} {
 		b.Run(fmt.Sprintf("members=%d/engines=%d", size.members, size.engines), func(b *testing.B) {
@@ -77,10 +77,10 @@
 				z.outside.End(z.outside.Start(now, elsewhere, longCall("x")))
 				z.outside.Start(now, elsewhere, chat)
 				if i%size.members == 0 {
-					sendSum(now, z.outside, z.collector)
-					sendSum(now, z.collector, z.outside)
+					sendCollectorReport(now, z.outside, z.collector)
+					sendCollectorReport(now, z.collector, z.outside)
 				}
-				report := member.ReportTo(now, "a")
+				report := member.MemberReport(now, "a")
 				data, err := msgpack.Marshal(&report)
 				if err != nil {
 					b.Fatal(err)
@@ -91,14 +91,14 @@
 					b.Fatal(err)
 				}
 				z.collector.Receive(now, &m)
-				answer := z.collector.AnswerTo(now, member.name)
-				out, err := msgpack.Marshal(&answer)
+				reply := z.collector.MemberReply(now, member.name)
+				out, err := msgpack.Marshal(&reply)
 				if err != nil {
 					b.Fatal(err)
 				}
 				spent += time.Since(began)
 				bytes += len(out)
-				member.Receive(now, roundTrip(answer))
+				member.Receive(now, roundTrip(reply))
 			}
 			b.ReportMetric(float64(spent.Nanoseconds())/float64(b.N), "collector-ns/op")
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op")
@@ -173,15 +173,15 @@
 		for _, z := range zones {
 			for _, g := range z.groups {
 				for _, m := range g.members {
-					send(g.collector, now, m.ReportTo(now, g.collector.name))
-					send(m, now, g.collector.AnswerTo(now, m.name))
+					send(g.collector, now, m.MemberReport(now, g.collector.name))
+					send(m, now, g.collector.MemberReply(now, m.name))
 				}
-				send(z.collector, now, g.collector.ReportTo(now, z.collector.name))
-				send(g.collector, now, z.collector.AnswerTo(now, g.collector.name))
+				send(z.collector, now, g.collector.MemberReport(now, z.collector.name))
+				send(g.collector, now, z.collector.MemberReply(now, g.collector.name))
 			}
 			for _, other := range zones {
 				if other.collector != z.collector {
-					send(other.collector, now, z.collector.SumTo(now, other.collector.name))
+					send(other.collector, now, z.collector.CollectorReport(now, other.collector.name))
 				}
 			}
 		}
@@ -226,7 +226,7 @@
 				}
 				limitBytes := 0
 				for i := range engines/200 + 1 {
-					m := x.SumTo(t0.Add(time.Duration(i)*time.Second/10), "peer")
+					m := x.CollectorReport(t0.Add(time.Duration(i)*time.Second/10), "peer")
 					limitBytes += len(m.Limits)
 				}
 				rnd := rand.New(rand.NewSource(1))
@@ -238,7 +238,7 @@
 						x.End(x.Start(now, s.ID, chat))
 					}
 				}
-				b.ReportMetric(float64(limitBytes), "bytes-told")
+				b.ReportMetric(float64(limitBytes), "limit-bytes")
 			})
 		}
 	}
--- a/core/balance/fuzz_test.go
+++ b/core/balance/fuzz_test.go
@@ -17,9 +17,9 @@
 	b, list := pool12()
 	b.Start(t0, list[0].ID, longCall("s"))
 	b.RecordLimit(t0, list[2].ID, ratelimit.Limit{Limited: true, PerSecond: 2.5})
-	first := b.SumTo(t0, "peer")
+	first := b.CollectorReport(t0, "peer")
 	b.Start(t0, list[1].ID, longCall("s"))
-	second := b.AnswerTo(t0, "member")
+	second := b.MemberReply(t0, "member")
 	for _, m := range []counts.Message{first, second} {
 		data, err := msgpack.Marshal(&m)
 		if err != nil {
@@ -44,7 +44,7 @@
 				t.Error("no engine is chosen after a report, and none is limited")
 			}
 		}
-		b.SumTo(now, m.Name)
-		b.AnswerTo(now, m.Name)
+		b.CollectorReport(now, m.Name)
+		b.MemberReply(now, m.Name)
 	})
 }
--- a/core/balance/limit.go
+++ b/core/balance/limit.go
@@ -107,7 +107,7 @@
 	for _, x := range b.peers {
 		if x.fresh(now) {
 			k.OthersKnown = true
-			k.Others += x.rates[poolName].Calls
+			k.Others += x.rates[poolName].CallsPerSecond
 		}
 	}
 	return p.limitShare.Of(now, k)
--- a/core/balance/limit_test.go
+++ b/core/balance/limit_test.go
@@ -41,7 +41,7 @@
 }
 
 // plain is a call without a prompt.
-var plain = Call{Target: 100 * time.Millisecond}
+var plain = Call{TargetLatency: 100 * time.Millisecond}
 
 // countChoices places calls at the given rate and counts them by server; "" counts
 // calls that could not be placed. Each call ends immediately.
@@ -129,7 +129,7 @@
 	for _, s := range list {
 		b.RecordLimit(t0, s.ID, ratelimit.Limit{})
 	}
-	if m := b.SumTo(t0, "peer"); len(m.Limits) > 0 {
+	if m := b.CollectorReport(t0, "peer"); len(m.Limits) > 0 {
 		t.Errorf("%d bytes of limits", len(m.Limits))
 	}
 }
@@ -144,7 +144,7 @@
 	for i := range 20 {
 		now := t0.Add(time.Duration(i+1) * 100 * time.Millisecond)
 		for _, pair := range [][2]*Balancer{{a, b}, {b, a}} {
-			m := pair[0].SumTo(now, pair[1].name)
+			m := pair[0].CollectorReport(now, pair[1].name)
 			sent += len(m.Limits)
 			pair[1].Receive(now, roundTrip(m))
 		}
@@ -156,7 +156,7 @@
 
 func appendedLimit(t *testing.T, b *Balancer) []byte {
 	t.Helper()
-	m := b.SumTo(t0.Add(3*time.Second), "newcomer")
+	m := b.CollectorReport(t0.Add(3*time.Second), "newcomer")
 	if len(m.Limits) == 0 {
 		t.Fatal("a new peer gets no limit")
 	}
@@ -173,13 +173,13 @@
 		b.RecordArrival(now, "p", plain)
 	}
 	if d := b.Demand(now, "p"); d.RateLimited != 0 {
-		t.Errorf("%g servers withheld without limits", d.RateLimited)
+		t.Errorf("%g servers count as rate-limited without limits", d.RateLimited)
 	}
 	b.RecordLimit(now, list[0].ID, perSecond(0.5))
 	b.RecordLimit(now, list[1].ID, perSecond(0))
 	b.RecordLimit(now, list[2].ID, perSecond(50))
 	if d := b.Demand(now, "p"); d.RateLimited < 1.4 || d.RateLimited > 1.6 || d.Servers() < d.RateLimited {
-		t.Errorf("%g servers withheld, want 1.5", d.RateLimited)
+		t.Errorf("%g servers count as rate-limited, want 1.5", d.RateLimited)
 	}
 }
 
--- a/core/balance/loss.go
+++ b/core/balance/loss.go
@@ -16,7 +16,7 @@
 	// missed call, since that takes engine time from others.
 	missTokensPerCall = 8000
 	// rankLoss is the loss per rank below the home server. It limits the number of
-	// copies of a shared part.
+	// copies of a shared prefix.
 	rankLoss = 0.02
 	// runningWeight is the loss of a full batch over an empty one. The loss grows with
 	// the square of the occupancy, because the last slots are taken while a burst is
@@ -26,22 +26,22 @@
 	// home. All instances see the same counts, some hundred milliseconds old; without
 	// it, the calls of a failed engine would all go to the same other engine.
 	jitterLoss = 0.3
-	// fullLoss keeps calls off a server without free slots or memory while another one
+	// fullLoss keeps calls off a server without free slots or KV cache while another one
 	// has capacity.
 	fullLoss = 5
-	// slowLoss is the loss of a sensitive stream on an engine that takes twice as long
+	// slowLoss is the loss of a latency-sensitive stream on an engine that takes twice as long
 	// as the median of its pool.
 	slowLoss = 2
-	// sensitiveLoss is the loss a long prompt causes per sensitive stream on its
-	// engine.
-	sensitiveLoss = 0.05
-	// maxSensitiveLoss bounds that loss, because calls of a side that has lost its
+	// latencySensitiveLoss is the loss a long prompt causes per latency-sensitive stream
+	// on its engine.
+	latencySensitiveLoss = 0.05
+	// maxLatencySensitiveLoss bounds that loss, because calls of a side that has lost its
 	// engines must use the other side.
-	maxSensitiveLoss = 1.0
-	// crossLossSensitive is the loss of crossing the boundary for long prompts and
-	// sensitive streams; crossLoss is that for other calls.
-	crossLossSensitive = 0.8
-	crossLoss          = 0.5
+	maxLatencySensitiveLoss = 1.0
+	// crossLossLatencySensitive is the loss of crossing the boundary for long prompts and
+	// latency-sensitive streams; crossLoss is that for other calls.
+	crossLossLatencySensitive = 0.8
+	crossLoss                 = 0.5
 	// stallTimePerCall is the total stall of other streams that equals one missed
 	// call: while an engine processes a prompt, each of its running streams makes
 	// almost no progress.
@@ -55,7 +55,7 @@
 	l := s.load()
 	loss := s.health.loss(now)
 	own := p.prefillTokens(now, s, c, rank == 0)
-	// A part that is not cached anywhere has to be processed at its home server in any
+	// A prefix that is not cached anywhere has to be processed at its home server in any
 	// case, so the home is not penalized for it.
 	if own > float64(c.Unshared) && (c.cached || rank != 0) {
 		loss += (own - float64(c.Unshared)) / missTokensPerCall
@@ -63,28 +63,28 @@
 	if rank != 0 {
 		loss += rankLoss * float64(max(rank, 1))
 	}
-	unread := float64(l.PendingPromptTokens) + own
+	pending := float64(l.PendingPromptTokens) + own
 	if rank == otherSide {
 		loss += c.crossingLoss(l)
 	}
-	delay := time.Duration(s.slowness * float64(p.speed.prefillTime(unread)))
-	loss += delayLoss(delay, c.target())
+	delay := time.Duration(s.slowness * float64(p.speed.prefillTime(pending)))
+	loss += delayLoss(delay, c.targetLatency())
 	loss += float64(l.Running) * s.slowness * p.speed.prefillTime(own).Seconds() / stallTimePerCall.Seconds()
-	if c.sensitive() {
+	if c.latencySensitive() {
 		loss += slowLoss * (s.slowness - 1)
 	}
 	return loss + occupancyLoss(now, p, s, c.Call, l)
 }
 
 // crossingLoss is the loss of crossing the boundary. A long prompt delays the events
-// of sensitive streams on the short side, and long prompts delay a sensitive stream on
-// the long side. Other short calls only lose time.
+// of latency-sensitive streams on the short side, and long prompts delay a
+// latency-sensitive stream on the long side. Other short calls only lose time.
 func (c *Call) crossingLoss(l Load) float64 {
 	switch {
 	case c.Tokens >= LongPromptTokens:
-		return crossLossSensitive + min(maxSensitiveLoss, sensitiveLoss*float64(l.LatencySensitive))
-	case c.sensitive():
-		return crossLossSensitive
+		return crossLossLatencySensitive + min(maxLatencySensitiveLoss, latencySensitiveLoss*float64(l.LatencySensitive))
+	case c.latencySensitive():
+		return crossLossLatencySensitive
 	}
 	return crossLoss
 }
@@ -104,7 +104,7 @@
 
 // delayLoss is at most one missed call, plus a little for each further target of
 // delay. When all engines are backlogged, a call should not leave its home for an
-// engine that is slightly less so: processing its shared part again costs all calls
+// engine that is slightly less so: processing its shared prefix again costs all calls
 // more than that gains.
 func delayLoss(delay, target time.Duration) float64 {
 	x := delay.Seconds() / target.Seconds()
--- a/core/balance/needs.go
+++ b/core/balance/needs.go
@@ -31,7 +31,7 @@
 	misplacedLongWeight = 0.5
 	// backlogTargetShare is the fraction of the calls' target within which a side
 	// should be able to process its backlog. The arrival rate shows only a quarter of
-	// a burst whose shared parts are not cached yet: without the backlog, six of
+	// a burst whose shared prefixes are not cached yet: without the backlog, six of
 	// twelve engines delayed prompts by 0.6 to 1.4 s for 7 s while the other six were
 	// nearly idle.
 	backlogTargetShare = 0.5
@@ -52,8 +52,8 @@
 		}
 	}
 	rates := b.rates(now, p, poolName)
-	shortPrefill := rates.Short / (p.speed.value() * maxShortPrefill)
-	longPrefill := max(rates.Long/(p.speed.value()*maxLongPrefill), p.backlogNeed(onLong, p.sides.meanLongTarget))
+	shortPrefill := rates.ShortTokens / (p.speed.value() * maxShortPrefill)
+	longPrefill := max(rates.LongTokens/(p.speed.value()*maxLongPrefill), p.backlogNeed(onLong, p.sides.meanLongTarget))
 	short = max(shortPrefill, slotNeed(float64(all.Running-all.LongPrompts)+misplacedLong, maxShortSlotUse, slots))
 	long = max(longPrefill, min(slotNeed(float64(all.LongPrompts), maxLongSlotUse, slots), maxSlotNeedFactor*longPrefill+1))
 	return short, long
@@ -68,16 +68,16 @@
 }
 
 // rates returns the arrival rates of a pool over all instances.
-func (b *Balancer) rates(now time.Time, p *pool, poolName string) Rates {
-	return b.ratesOf(now, p, poolName, func(*peer) bool { return true })
+func (b *Balancer) rates(now time.Time, p *pool, poolName string) ArrivalRates {
+	return b.sumRates(now, p, poolName, func(*peer) bool { return true })
 }
 
-// ratesOf returns the arrival rates of a pool at this instance and at the peers that
-// chosen accepts.
-func (b *Balancer) ratesOf(now time.Time, p *pool, poolName string, chosen func(x *peer) bool) Rates {
-	sum := Rates{Long: p.sides.long.rate(now), Short: p.sides.short.rate(now), Speed: p.speed.own, Calls: p.calls.rate(now)}
+// sumRates returns the arrival rates of a pool at this instance and at the peers that
+// included accepts.
+func (b *Balancer) sumRates(now time.Time, p *pool, poolName string, included func(x *peer) bool) ArrivalRates {
+	sum := ArrivalRates{LongTokens: p.sides.long.rate(now), ShortTokens: p.sides.short.rate(now), PrefillSpeed: p.speed.own, CallsPerSecond: p.calls.rate(now)}
 	for _, x := range b.peers {
-		if x.fresh(now) && chosen(x) {
+		if x.fresh(now) && included(x) {
 			sum.add(x.rates[poolName])
 		}
 	}
--- a/core/balance/peers.go
+++ b/core/balance/peers.go
@@ -23,12 +23,12 @@
 	unknown map[string]int
 	// running is the number of the peer's calls on known servers.
 	running           int
-	rates             map[string]Rates
+	rates             map[string]ArrivalRates
 	boundaries        map[string]counts.Boundary
 	decidesBoundaries bool
 	// reportedAge is the age of the counts when the peer sent them.
 	reportedAge time.Duration
-	// nextUse is the sequence number of the next part use to send to the peer.
+	// nextUse is the sequence number of the next prefix use to send to the peer.
 	nextUse uint64
 }
 
@@ -36,7 +36,7 @@
 	return !p.updatedAt.IsZero() && now.Sub(p.updatedAt) < peerTTL
 }
 
-// member reports whether the peer reports to this instance and receives its answers.
+// member reports whether the peer reports to this instance and receives its replies.
 func (p *peer) member() bool { return p.kind == counts.MemberReport && !p.updatedAt.IsZero() }
 
 // row returns the peer's counts for the server in a slot.
@@ -98,8 +98,8 @@
 	b.adoptBoundaries(now, p.boundaries)
 }
 
-// applyRows applies changed counts. moved is set if the peer's position among the
-// collectors has changed.
+// applyRows applies changed counts. moved is set if the peer's message kind or
+// level has changed.
 func (b *Balancer) applyRows(p *peer, u counts.Update, moved bool) {
 	if u.NewStream || moved {
 		b.recomputeSums()
@@ -121,7 +121,7 @@
 	p.recordUnknown(id, number)
 }
 
-// applyUses records which shared parts other instances sent to servers.
+// applyUses records which shared prefixes other instances sent to servers.
 func (b *Balancer) applyUses(now time.Time, from *peer, list []counts.Use) {
 	for _, use := range list {
 		s := b.servers[use.Server]
@@ -129,14 +129,14 @@
 			continue
 		}
 		b.pool(s.Pool).recordHolder(use.Prefix, s)
-		if s.parts.recordUse(now, use.Prefix) {
+		if s.cache.recordUse(now, use.Prefix) {
 			b.uses.add(now, from, use)
 		}
 	}
 }
 
 // dropOtherSources drops all peers that are neither the collector nor members: the
-// collector's answer already contains all counts except this instance's own and those
+// collector's reply already contains all counts except this instance's own and those
 // of its members.
 func (b *Balancer) dropOtherSources(collector *peer) {
 	for name, p := range b.peers {
@@ -146,10 +146,11 @@
 	}
 }
 
-func ratesOf(list []counts.ArrivalRates) map[string]Rates {
-	out := make(map[string]Rates, len(list))
+func ratesOf(list []counts.ArrivalRates) map[string]ArrivalRates {
+	out := make(map[string]ArrivalRates, len(list))
 	for _, x := range list {
-		out[x.Pool] = Rates{Long: float64(x.LongTokens), Short: float64(x.ShortTokens), Speed: SpeedSample{Sum: float64(x.PrefillSpeedSum), Calls: float64(x.PrefillSpeedCalls)}, Calls: float64(x.CallsPerSecond)}
+		out[x.Pool] = ArrivalRates{LongTokens: float64(x.LongTokens), ShortTokens: float64(x.ShortTokens), CallsPerSecond: float64(x.CallsPerSecond),
+			PrefillSpeed: SpeedSample{Sum: float64(x.PrefillSpeedSum), Calls: float64(x.PrefillSpeedCalls)}}
 	}
 	return out
 }
@@ -199,7 +200,7 @@
 	for name, pool := range b.pools {
 		pool.speed.others = SpeedSample{}
 		for _, p := range b.peers {
-			pool.speed.others.add(p.rates[name].Speed)
+			pool.speed.others.add(p.rates[name].PrefillSpeed)
 		}
 	}
 }
--- a/core/balance/rank.go
+++ b/core/balance/rank.go
@@ -36,11 +36,11 @@
 	return ranks
 }
 
-// rendezvousFirst returns the home server of a shared part, the first in its ranking.
-func rendezvousFirst(part string, list []*server) *server {
+// rendezvousFirst returns the home server of a shared prefix, the first in its ranking.
+func rendezvousFirst(prefix string, list []*server) *server {
 	best := list[0]
 	for _, s := range list[1:] {
-		if score(part, s.ID) > score(part, best.ID) {
+		if score(prefix, s.ID) > score(prefix, best.ID) {
 			best = s
 		}
 	}
--- a/core/balance/replay_test.go
+++ b/core/balance/replay_test.go
@@ -43,8 +43,8 @@
 			out = append(out, arrival{at: at, call: c, output: output})
 		}
 	}
-	call := func(kind string, parts, shared, unshared int, target, gap time.Duration) Call {
-		return Call{Tokens: shared + unshared, Unshared: unshared, Target: target, Gap: gap, AffinityKey: fmt.Sprint(kind, rnd.Intn(parts))}
+	call := func(kind string, prefixes, shared, unshared int, target, targetGap time.Duration) Call {
+		return Call{Tokens: shared + unshared, Unshared: unshared, TargetLatency: target, TargetGap: targetGap, AffinityKey: fmt.Sprint(kind, rnd.Intn(prefixes))}
 	}
 	add(60, 10*time.Second, 15*time.Second, 2, func() (Call, int) {
 		return call("chat", 400, 198, size(628, 0.8), 300*time.Millisecond, 200*time.Millisecond), size(290, 0.6)
@@ -127,7 +127,7 @@
 		if b, ok := p.(*balanced); ok {
 			s.ticket = b.b.Start(t0.Add(a.at), sims[i].id, a.call)
 			s.late = b.late
-			s.onGap = func(gap time.Duration) { b.b.RecordGap(&s.ticket, gap) }
+			s.onEventInterval = func(interval time.Duration) { b.b.RecordEventInterval(&s.ticket, interval) }
 		}
 		r.reprocessed += sims[i].accept(s)
 	}
@@ -147,8 +147,8 @@
 }
 
 func (r *result) count(s *streamSim) {
-	late := s.cut || s.first-s.arrived > s.call.Target || s.worstGap > s.call.Gap
-	switch s.call.Target {
+	late := s.cut || s.first-s.arrived > s.call.TargetLatency || s.longestInterval > s.call.TargetGap
+	switch s.call.TargetLatency {
 	case 300 * time.Millisecond:
 		r.chats++
 		if late {
@@ -210,7 +210,7 @@
 		return
 	}
 	p.b.RecordSuccess(now, p.list[engine].ID)
-	p.b.RecordStream(now, &s.ticket, s.gaps)
+	p.b.RecordStream(now, &s.ticket, s.intervals)
 }
 
 // leastRunning is the baseline policy: the engine with the fewest calls.
@@ -281,14 +281,14 @@
 	}
 }
 
-// In a burst of long prompts whose shared parts are not cached yet, the boundary must
+// In a burst of long prompts whose shared prefixes are not cached yet, the boundary must
 // follow the backlog, since the arrival rate shows only a quarter of it.
 func TestBoundaryFollowsBacklog(t *testing.T) {
 	b, _ := pool12()
 	b.setSpeed("p", 40_000)
 	now := t0
 	for i := range 40 {
-		c := Call{Tokens: 9000, Unshared: 2900, MaxOutput: 60, Target: 800 * time.Millisecond, Gap: 500 * time.Millisecond, AffinityKey: fmt.Sprint(i)}
+		c := Call{Tokens: 9000, Unshared: 2900, MaxOutput: 60, TargetLatency: 800 * time.Millisecond, TargetGap: 500 * time.Millisecond, AffinityKey: fmt.Sprint(i)}
 		now = now.Add(10 * time.Millisecond)
 		b.RecordArrival(now, "p", c)
 		s, ok := b.Choose(now, "p", c, nil, fixedRandom)
--- a/core/balance/report.go
+++ b/core/balance/report.go
@@ -12,38 +12,38 @@
 // Load is the load on one server.
 type Load = counts.Load
 
-// Rates is the work that arrives for a pool.
-type Rates struct {
-	// Long and Short are the prompt tokens per second that arrive for each side.
-	Long, Short float64
-	// Calls is the number of calls per second.
-	Calls float64
-	// Speed is the observed prefill speed of the pool's engines.
-	Speed SpeedSample
+// ArrivalRates is the arriving work of a pool.
+type ArrivalRates struct {
+	// LongTokens and ShortTokens are the prompt tokens per second to be processed on the
+	// long and on the short side.
+	LongTokens, ShortTokens float64
+	CallsPerSecond          float64
+	// PrefillSpeed is the observed prefill speed of the pool's engines.
+	PrefillSpeed SpeedSample
 }
 
-func (r *Rates) add(x Rates) {
-	r.Long += x.Long
-	r.Short += x.Short
-	r.Calls += x.Calls
-	r.Speed.add(x.Speed)
+func (r *ArrivalRates) add(x ArrivalRates) {
+	r.LongTokens += x.LongTokens
+	r.ShortTokens += x.ShortTokens
+	r.CallsPerSecond += x.CallsPerSecond
+	r.PrefillSpeed.add(x.PrefillSpeed)
 }
 
-// ReportTo returns the next message to this instance's collector, with the counts of
+// MemberReport returns the next message to this instance's collector, with the counts of
 // this instance and of the members in its subtree.
-func (b *Balancer) ReportTo(now time.Time, collector string) counts.Message {
+func (b *Balancer) MemberReport(now time.Time, collector string) counts.Message {
 	return b.message(now, b.peer(now, collector), counts.MemberReport)
 }
 
-// SumTo returns the next message to another collector, with the same counts and the
-// boundaries in use here.
-func (b *Balancer) SumTo(now time.Time, peer string) counts.Message {
+// CollectorReport returns the next message to another collector, with the same counts
+// and the boundaries in use here.
+func (b *Balancer) CollectorReport(now time.Time, peer string) counts.Message {
 	return b.message(now, b.peer(now, peer), counts.CollectorReport)
 }
 
-// AnswerTo returns the next message to a member, with the counts of all other
-// instances and the boundaries in use here.
-func (b *Balancer) AnswerTo(now time.Time, member string) counts.Message {
+// MemberReply returns the next message to a member, with the counts that the member's own
+// reports do not cover and the boundaries in use here.
+func (b *Balancer) MemberReply(now time.Time, member string) counts.Message {
 	return b.message(now, b.peer(now, member), counts.MemberReply)
 }
 
@@ -125,8 +125,8 @@
 // ownRow returns this instance's own counts for a server.
 func (s *server) ownRow() counts.Row {
 	r := counts.Row{Load: s.own}
-	if s.pace.perEvent > 0 {
-		r.EventInterval = counts.EventInterval{Microseconds: uint32(s.pace.perEvent.Microseconds()), Instances: 1}
+	if s.eventInterval.minimum > 0 {
+		r.EventInterval = counts.EventInterval{Microseconds: uint32(s.eventInterval.minimum.Microseconds()), Instances: 1}
 	}
 	return r
 }
@@ -136,18 +136,18 @@
 func (b *Balancer) ratesFor(now time.Time, to *peer, subtreeOnly bool) []counts.ArrivalRates {
 	var out []counts.ArrivalRates
 	for name, p := range b.pools {
-		sum := b.ratesOf(now, p, name, func(x *peer) bool { return x != to && (!subtreeOnly || b.inSubtree(x)) })
-		if p.memory == 0 && sum.Calls < minCallRate {
+		sum := b.sumRates(now, p, name, func(x *peer) bool { return x != to && (!subtreeOnly || b.inSubtree(x)) })
+		if p.kvTokens == 0 && sum.CallsPerSecond < minCallRate {
 			continue
 		}
-		out = append(out, counts.ArrivalRates{Pool: name, LongTokens: float32(sum.Long), ShortTokens: float32(sum.Short),
-			PrefillSpeedSum: float32(sum.Speed.Sum), PrefillSpeedCalls: float32(sum.Speed.Calls), CallsPerSecond: float32(sum.Calls)})
+		out = append(out, counts.ArrivalRates{Pool: name, LongTokens: float32(sum.LongTokens), ShortTokens: float32(sum.ShortTokens),
+			PrefillSpeedSum: float32(sum.PrefillSpeed.Sum), PrefillSpeedCalls: float32(sum.PrefillSpeed.Calls), CallsPerSecond: float32(sum.CallsPerSecond)})
 	}
 	return out
 }
 
-// minCallRate is the minimum number of calls per second from which the rates of a pool
-// without engines are reported.
+// minCallRate is the number of calls per second from which the rates of a pool without
+// engines are reported.
 const minCallRate = 0.01
 
 // boundaryPeriod is how long computed boundaries are reused: a collector sends some
@@ -170,7 +170,7 @@
 	t.at = now
 	var list []counts.Boundary
 	for name, p := range b.pools {
-		if p.memory == 0 {
+		if p.kvTokens == 0 {
 			continue
 		}
 		if engines := b.longSide(now, name); p.sides.ready(now) {
--- a/core/balance/report_test.go
+++ b/core/balance/report_test.go
@@ -39,13 +39,13 @@
 // exchange sends the counts of all instances to all others.
 func (g *group) exchange(now time.Time) {
 	for _, m := range g.members {
-		sendReport(now, m, g.collector)
+		sendMemberReport(now, m, g.collector)
 	}
-	sendSum(now, g.collector, g.other)
-	sendSum(now, g.other, g.collector)
+	sendCollectorReport(now, g.collector, g.other)
+	sendCollectorReport(now, g.other, g.collector)
 	for _, m := range g.members {
-		sendReport(now, m, g.collector)
-		sendAnswer(now, g.collector, m)
+		sendMemberReport(now, m, g.collector)
+		sendMemberReply(now, g.collector, m)
 	}
 }
 
@@ -62,12 +62,14 @@
 	return &out
 }
 
-func sendSum(now time.Time, from, to *Balancer) { to.Receive(now, roundTrip(from.SumTo(now, to.name))) }
-func sendReport(now time.Time, from, to *Balancer) {
-	to.Receive(now, roundTrip(from.ReportTo(now, to.name)))
+func sendCollectorReport(now time.Time, from, to *Balancer) {
+	to.Receive(now, roundTrip(from.CollectorReport(now, to.name)))
 }
-func sendAnswer(now time.Time, from, to *Balancer) {
-	to.Receive(now, roundTrip(from.AnswerTo(now, to.name)))
+func sendMemberReport(now time.Time, from, to *Balancer) {
+	to.Receive(now, roundTrip(from.MemberReport(now, to.name)))
+}
+func sendMemberReply(now time.Time, from, to *Balancer) {
+	to.Receive(now, roundTrip(from.MemberReply(now, to.name)))
 }
 
 func (g *group) all() []*Balancer { return append([]*Balancer{g.collector, g.other}, g.members...) }
@@ -126,20 +128,20 @@
 	}
 }
 
-func TestPacesOfAllInstancesAreAveraged(t *testing.T) {
+func TestEventIntervalsOfAllInstancesAreAveraged(t *testing.T) {
 	g := newGroup()
-	gaps := make([]time.Duration, 20)
+	intervals := make([]time.Duration, 20)
 	for i, b := range []*Balancer{g.members[0], g.other} {
-		for k := range gaps {
-			gaps[k] = time.Duration(20+10*i) * time.Millisecond
+		for k := range intervals {
+			intervals[k] = time.Duration(20+10*i) * time.Millisecond
 		}
-		b.RecordStream(t0, &Ticket{server: g.servers[4].ID}, gaps)
+		b.RecordStream(t0, &Ticket{server: g.servers[4].ID}, intervals)
 	}
 	g.exchange(t0)
 	g.exchange(t0.Add(100 * time.Millisecond))
 	for _, b := range []*Balancer{g.members[1], g.collector} {
-		if got := b.perEvent(b.servers[g.servers[4].ID]); got != 25*time.Millisecond {
-			t.Errorf("instance %s has pace %v, want 25ms", b.name, got)
+		if got := b.eventInterval(b.servers[g.servers[4].ID]); got != 25*time.Millisecond {
+			t.Errorf("instance %s has event interval %v, want 25ms", b.name, got)
 		}
 	}
 }
@@ -209,14 +211,14 @@
 
 // Two instances first exchange counts as equal collectors, then one becomes a member
 // of the other. It must be sent the counts of all other instances again.
-func TestFirstAnswerIsComplete(t *testing.T) {
+func TestFirstReplyIsComplete(t *testing.T) {
 	g := newGroup()
 	b, m := g.collector, g.members[0]
 	g.other.Start(t0, g.servers[4].ID, chat)
-	sendSum(t0, g.other, b)
-	sendSum(t0, b, m)
-	sendReport(t0, m, b)
-	sendAnswer(t0, b, m)
+	sendCollectorReport(t0, g.other, b)
+	sendCollectorReport(t0, b, m)
+	sendMemberReport(t0, m, b)
+	sendMemberReply(t0, b, m)
 	if got := m.servers[g.servers[4].ID].load().Running; got != 1 {
 		t.Errorf("the member counts %d calls, want the one of another instance", got)
 	}
--- a/core/balance/servers_test.go
+++ b/core/balance/servers_test.go
@@ -24,7 +24,7 @@
 					}
 				}
 				for range 1 + engines/4/256 {
-					sendSum(t0, z.members[i], z.collector)
+					sendCollectorReport(t0, z.members[i], z.collector)
 				}
 			}
 			for n := range b.N {
@@ -63,8 +63,8 @@
 			}
 			rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 			here.SetFleet(list)
-			sendSum(now, there, here)
-			sendSum(now, here, there)
+			sendCollectorReport(now, there, here)
+			sendCollectorReport(now, here, there)
 			checkSums(t, here)
 		}
 	}
--- a/core/balance/sides.go
+++ b/core/balance/sides.go
@@ -40,20 +40,20 @@
 	// pendingMove is the latest move not yet returned by BoundaryMoves.
 	pendingMove *BoundaryMove
 	// swappedAt is when engines were last swapped between the sides because of their
-	// pace.
+	// slowness.
 	swappedAt time.Time
 }
 
-func (s *sides) arrive(now time.Time, c Call, long bool, unread float64) {
+func (s *sides) recordArrival(now time.Time, c Call, long bool, pending float64) {
 	if c.Tokens == 0 {
 		return
 	}
 	if long {
-		s.long.add(now, unread)
-		s.meanLongTarget = ewma(s.meanLongTarget, c.target(), targetWeight)
+		s.long.add(now, pending)
+		s.meanLongTarget = ewma(s.meanLongTarget, c.targetLatency(), targetWeight)
 		return
 	}
-	s.short.add(now, unread)
+	s.short.add(now, pending)
 }
 
 // longSide returns the engines for long prompts. A single instance decides for all, so
@@ -89,7 +89,7 @@
 }
 
 // decider returns the peer whose boundaries apply, or nil if this instance decides. A
-// member uses the boundaries in its collector's answer; among collectors, the one with
+// member uses the boundaries in its collector's reply; among collectors, the one with
 // the lowest name decides.
 func (b *Balancer) decider(now time.Time) *peer {
 	var found *peer
@@ -122,7 +122,7 @@
 }
 
 // assignSides moves the boundary where arrivals require it. Otherwise engines stay on
-// their side, since each move loses the shared parts they have cached.
+// their side, since each move loses the shared prefixes they have cached.
 func (b *Balancer) assignSides(now time.Time, p *pool, poolName string) {
 	s := &p.sides
 	var long, others []*server
@@ -158,7 +158,7 @@
 	slices.Sort(s.engines)
 }
 
-// swapPeriod is the minimum time between two swaps of engines because of their pace.
+// swapPeriod is the minimum time between two swaps of engines because of their slowness.
 const swapPeriod = 3 * time.Second
 
 // swapMisplaced exchanges a fast engine of the long side for a slow one of the short
@@ -174,7 +174,7 @@
 }
 
 // sortMoveFirst sorts engines by their suitability for the long side: slow ones first,
-// then those with the fewest sensitive streams, which long prompts would delay.
+// then those with the fewest latency-sensitive streams, which long prompts would delay.
 func sortMoveFirst(others []*server) {
 	sort.SliceStable(others, func(i, j int) bool {
 		if others[i].slow != others[j].slow {
@@ -262,7 +262,7 @@
 // minMove is the change of the long side's share from which the boundary moves
 // immediately. Smaller moves wait until movePeriod after the last one, unless the
 // short side, whose calls take precedence, lacks an engine. When engines are scarce,
-// needs change with every call, and calls lose the cached parts of each engine that
+// needs change with every call, and calls lose the cached prefixes of each engine that
 // changes sides.
 const (
 	minMove    = 0.1
--- a/core/balance/speed.go
+++ b/core/balance/speed.go
@@ -65,7 +65,7 @@
 
 // observe records the time in which an otherwise idle engine processed between least
 // and most tokens of a prompt. The number is uncertain because it is unknown which
-// shared parts were cached. The estimate moves only if it lies outside the possible
+// shared prefixes were cached. The estimate moves only if it lies outside the possible
 // range; using least alone, it started at half the speed while nothing was cached yet.
 func (s *speed) observe(least, most float64, took time.Duration) {
 	if most <= maxBaseTokens {
@@ -76,8 +76,8 @@
 		return
 	}
 	v := s.value()
-	read := (took - s.baseLatency).Seconds()
-	seen := min(max(v, least/read), most/read)
+	prefill := (took - s.baseLatency).Seconds()
+	seen := min(max(v, least/prefill), most/prefill)
 	seen = min(maxSpeedRatio*v, max(minSpeedRatio*v, seen))
 	own := seen
 	if s.own.Calls > 0 {
--- a/core/balance/state.go
+++ b/core/balance/state.go
@@ -11,7 +11,7 @@
 	ID string `json:"id"`
 	// Long is set if the server is on the long side.
 	Long bool `json:"long"`
-	// Slowness is the ratio of the server's time per event to the median of its pool.
+	// Slowness is the ratio of the server's event interval to the median of its pool.
 	Slowness float64 `json:"slowness"`
 	// Failures is the decaying share of failed calls.
 	Failures float64 `json:"failures"`
--- a/core/balance/uses.go
+++ b/core/balance/uses.go
@@ -10,16 +10,16 @@
 const (
 	// usesBacklog is how far back the uses sent to a new peer reach.
 	usesBacklog = 350 * time.Millisecond
-	// reannouncePeriod is the minimum time between two announcements of a part's use
-	// on the same server. Receivers assume the part to be cached for much longer. This
-	// suppresses most uses of common parts.
+	// reannouncePeriod is the minimum time between two announcements of a prefix's use
+	// on the same server. Receivers assume the prefix to be cached for much longer. This
+	// suppresses most uses of common prefixes.
 	reannouncePeriod = time.Second
 	// maxLoggedUses bounds the number of logged uses. A peer that lags further behind
 	// misses some.
 	maxLoggedUses = 4096
 )
 
-// useLog holds the latest uses of shared parts, by this instance and by others, that
+// useLog holds the latest uses of shared prefixes, by this instance and by others, that
 // are to be sent to peers.
 type useLog struct {
 	list []loggedUse
--- a/core/counts/counts_test.go
+++ b/core/counts/counts_test.go
@@ -55,9 +55,9 @@
 // announceLimit records an announcement of a slot's server on its request rate.
 func (t *table) announceLimit(i int, l ratelimit.Limit) {
 	t.now = t.now.Add(time.Second)
-	statement := t.limits[i]
-	statement.Observe(t.now, l)
-	t.limits[i] = statement
+	announced := t.limits[i]
+	announced.Observe(t.now, l)
+	t.limits[i] = announced
 	t.touch(i)
 }
 
--- a/core/counts/message.go
+++ b/core/counts/message.go
@@ -93,31 +93,33 @@
 	Age time.Duration
 }
 
-// PrefixKey is the hash of a prompt part shared by several calls.
+// PrefixKey is the hash of the ID of a prompt prefix that several calls share.
 type PrefixKey uint32
 
-// Use records that a call with a shared prompt part was sent to a server.
+// Use records that a call with a shared prompt prefix was sent to a server.
 type Use struct {
 	Server string
 	Prefix PrefixKey
 }
 
-// ArrivalRates is the arriving work of a pool. LongTokens and ShortTokens are the prompt
-// tokens per second of long and short prompts.
+// ArrivalRates is the arriving work of a pool.
 type ArrivalRates struct {
-	Pool        string  `msgpack:"p"`
+	Pool string `msgpack:"p"`
+	// LongTokens and ShortTokens are the prompt tokens per second to be processed on the
+	// long and on the short side of the pool.
 	LongTokens  float32 `msgpack:"l"`
 	ShortTokens float32 `msgpack:"s"`
-	// PrefillSpeedSum is the sum of the prefill speeds observed in PrefillSpeedCalls calls.
+	// PrefillSpeedSum is the sum of the prefill speeds, in prompt tokens per second, that
+	// were observed in PrefillSpeedCalls calls.
 	PrefillSpeedSum   float32 `msgpack:"r"`
 	PrefillSpeedCalls float32 `msgpack:"c"`
 	CallsPerSecond    float32 `msgpack:"n,omitempty"`
 }
 
-// Boundary is the division of a pool's engines between long and short prompts.
+// Boundary divides a pool's engines into a long side, for long prompts, and a short side.
 type Boundary struct {
 	Pool string
-	// Share is the fraction of the engines for long prompts; Engines are these.
+	// Share is the fraction of the engines on the long side; Engines are these.
 	Share   float64
 	Engines []string
 }
@@ -147,7 +149,8 @@
 	MemberReport MessageKind = iota
 	// CollectorReport holds the same for another collector.
 	CollectorReport
-	// MemberReply holds the counts that a member does not have itself.
+	// MemberReply holds, for a member, the counts of all instances but those that its own
+	// report covers.
 	MemberReply
 )
 
@@ -156,10 +159,12 @@
 	// Name is the sender's.
 	Name string      `msgpack:"n"`
 	Kind MessageKind `msgpack:"k"`
-	// Level is the sender's level in the tree of collectors.
+	// Level is the sender's level in the tree of collectors, see package collect: 0 for a
+	// member, 1 for the collector of a group, 2 for a collector of a zone and for every
+	// instance of a full mesh.
 	Level uint8 `msgpack:"l,omitempty"`
-	// Position is this message's; Acknowledged is the sender's position in the receiver's
-	// stream.
+	// Position is this message's; Acknowledged is the sender's position in the stream of
+	// the opposite direction.
 	Position     Position `msgpack:"a"`
 	Acknowledged Position `msgpack:"h"`
 	// AgeMillis is the average age of the counts in the stream.
--- a/core/counts/pack.go
+++ b/core/counts/pack.go
@@ -8,8 +8,8 @@
 	"cardamomwick.example/core/ratelimit"
 )
 
-// tokenUnit is the unit of tokens on the wire: engines allocate memory in blocks of 16
-// tokens, and in units of 32 half a million tokens take two bytes.
+// tokenUnit is the unit of tokens on the wire: engines allocate their KV cache in blocks of
+// 16 tokens, and in units of 32 half a million tokens take two bytes.
 const tokenUnit = 32
 
 // rounded returns the row as the receiver decodes it.
@@ -101,7 +101,7 @@
 )
 
 // appendLimit encodes a limit after the number of its server: 0 for none, or one more than
-// the rate in its smallest parts, then its age.
+// the rate in units of 1/ratelimit.StepsPerUnit, then its age.
 func appendLimit(out []byte, number uint32, l ratelimit.Limit, age time.Duration) []byte {
 	rate := uint64(0)
 	if l.Limited {
--- a/daemon/router/call.go
+++ b/daemon/router/call.go
@@ -146,13 +146,13 @@
 // placement returns what placement needs to know of the call.
 func (c *call) placement() balance.Call {
 	p := &c.said.Prompt
-	out := balance.Call{Tokens: p.Tokens, Unshared: p.Tokens, MaxOutput: p.MaxOutput, Target: c.route.TargetLatency, Gap: c.route.TargetGap, Tier: c.route.Tier}
+	out := balance.Call{Tokens: p.Tokens, Unshared: p.Tokens, MaxOutput: p.MaxOutput, TargetLatency: c.route.TargetLatency, TargetGap: c.route.TargetGap, Tier: c.route.Tier}
 	if n := len(p.Parts); n > 0 {
 		out.Unshared = p.Parts[n-1].Tokens
 		if n > 1 {
 			out.AffinityKey = p.Parts[n-2].ID
 			for _, part := range p.Parts[:n-1] {
-				out.Chain = append(out.Chain, balance.Part{ID: part.ID, Tokens: part.Tokens})
+				out.Prefixes = append(out.Prefixes, balance.Prefix{ID: part.ID, Tokens: part.Tokens})
 			}
 		}
 	}
--- a/daemon/router/exchange.go
+++ b/daemon/router/exchange.go
@@ -79,10 +79,10 @@
 	r.balancer.DropSilentPeers(now)
 	var out []addressed
 	for _, peer := range plan.Peers {
-		out = append(out, addressed{r.balancer.SumTo(now, peer.Name), peer})
+		out = append(out, addressed{r.balancer.CollectorReport(now, peer.Name), peer})
 	}
 	if reports {
-		out = append(out, addressed{r.balancer.ReportTo(now, collector.Name), collector})
+		out = append(out, addressed{r.balancer.MemberReport(now, collector.Name), collector})
 	}
 	return out
 }
@@ -142,7 +142,7 @@
 	if m.Kind != counts.MemberReport {
 		return counts.Message{}, false
 	}
-	return r.balancer.AnswerTo(now, m.Name), true
+	return r.balancer.MemberReply(now, m.Name), true
 }
 
 // CountsAge is how old the counts of other entries are when calls are placed by
--- a/daemon/router/stream.go
+++ b/daemon/router/stream.go
@@ -57,7 +57,7 @@
 func (r *Router) progress(c *call, gap time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.balancer.RecordGap(&c.ticket, gap)
+	r.balancer.RecordEventInterval(&c.ticket, gap)
 }
 
 // passStream passes whole events on as they come. When the server breaks off,
