--- a/core/state/duties_test.go
+++ b/core/state/duties_test.go
@@ -13,7 +13,8 @@
 	return m.Apply(c.Encode())
 }
 
-func holder(t *testing.T, m *Machine, name string) uint64 {
+// claimUsageDuty makes name the holder of the duty "usage" and returns the new term.
+func claimUsageDuty(t *testing.T, m *Machine, name string) uint64 {
 	t.Helper()
 	seen := m.Duties().Duties["usage"].Lease
 	r := apply(t, m, &Command{Type: CommandDuty, Duty: &DutyCommand{Duty: "usage", Claim: duty.Claim{Holder: name, Expected: seen}}})
@@ -31,7 +32,7 @@
 // when the snapshot has no open usage windows.
 func TestDutiesSurviveSnapshot(t *testing.T) {
 	m := New()
-	term := holder(t, m, "a")
+	term := claimUsageDuty(t, m, "a")
 	apply(t, m, report(1, 7, 3))
 	first := apply(t, m, &Command{Type: CommandEffect, NowMillis: 1000, Effect: &EffectCommand{Duty: "usage", Holder: "a", Term: term, Close: 7}})
 	if first.Code != CodeOK || first.Window.Counts["x"] != 3 {
@@ -57,8 +58,8 @@
 // An effect sent under a previous term is rejected and changes nothing.
 func TestEffectOfFormerHolderIsRejected(t *testing.T) {
 	m := New()
-	former := holder(t, m, "a")
-	holder(t, m, "b")
+	former := claimUsageDuty(t, m, "a")
+	claimUsageDuty(t, m, "b")
 	order := &capacity.Order{ServerGroup: capacity.ServerGroup{Pool: "p", Zone: "z"}, Count: 4}
 	r := apply(t, m, &Command{Type: CommandEffect, Effect: &EffectCommand{Duty: "usage", Holder: "a", Term: former, Close: 7, Order: order}})
 	d := m.Duties()
--- a/core/state/usage_size_test.go
+++ b/core/state/usage_size_test.go
@@ -61,7 +61,7 @@
 	for _, customers := range []int{24, 1000} {
 		u := &usageLoad{random: rand.New(rand.NewPCG(1, 2)), customers: customers, now: time.Unix(1_800_000_000, 0)}
 		m := New()
-		term := holder(t, m, "a")
+		term := claimUsageDuty(t, m, "a")
 		bytes, steps := 0, 0
 		var spent time.Duration
 		const length = 20 * time.Minute
