--- a/ctl/commands/load.go
+++ b/ctl/commands/load.go
@@ -53,15 +53,15 @@
 	arrivals := p.Arrivals(cmd.Int64("seed"))
 	samples := load.Run(ctx, p, target, arrivals, ShowProgress)
 	r := load.NewReport(p, "run", samples)
-	p.Bound(arrivals, r)
-	r.Table(os.Stdout)
+	p.AddUpperBounds(arrivals, r)
+	r.WriteTable(os.Stdout)
 	if file := cmd.String("lines"); file != "" {
 		f, err := os.Create(file)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		if err := r.JSONLines(f); err != nil {
+		if err := r.WriteJSONLines(f); err != nil {
 			return err
 		}
 	}
--- a/ctl/internal/bench/main.go
+++ b/ctl/internal/bench/main.go
@@ -121,8 +121,8 @@
 		if err != nil {
 			return eris.Wrap(err, policy)
 		}
-		r.Table(os.Stdout)
-		if err := r.JSONLines(lines); err != nil {
+		r.WriteTable(os.Stdout)
+		if err := r.WriteJSONLines(lines); err != nil {
 			return err
 		}
 		reports = append(reports, r)
@@ -187,8 +187,8 @@
 		return nil, err
 	}
 	r := load.NewReport(p, policy, samples)
-	r.SetGenerated(after - before)
-	p.Bound(arrivals, r)
+	r.SetGeneratedTokens(after - before)
+	p.AddUpperBounds(arrivals, r)
 	return r, nil
 }
 
@@ -215,14 +215,14 @@
 	e, zones := p.Fleet.Engines, p.Fleet.Zones
 	for n := range e.Count {
 		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: engineID(n), Address: c.Address(n), Zone: zones[n%len(zones)], Pool: e.Pool, Slots: e.Slots,
-			StepBaseMicros: e.StepBaseMicros, StepPerCallMicros: e.StepPerCallMicros, PrefillTokensPerSecond: e.PrefillPerSecond,
-			CachePrefixes: e.CachePrefixes, ReportLagMillis: e.ReportLagMillis, CacheGapPercent: e.CacheGapPercent})
+			StepBaseMicros: e.StepBaseMicros, StepPerCallMicros: e.StepPerCallMicros, PrefillTokensPerSecond: e.PrefillTokensPerSecond,
+			CachePrefixes: e.CachePrefixes, ReportLagMillis: e.ReportLagMillis, CacheGapPercent: e.CacheEventLossPercent})
 	}
 	n := e.Count
 	for pool, count := range p.Fleet.Services {
 		for k := range count {
 			cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("%s-%d", pool, k+1), Address: c.Address(n), Zone: zones[k%len(zones)], Pool: pool,
-				Slots: p.Fleet.ServiceSlots, DelayMillis: p.Fleet.ServiceDelay})
+				Slots: p.Fleet.ServiceSlots, DelayMillis: p.Fleet.ServiceDelayMillis})
 			n++
 		}
 	}
--- a/ctl/load/bound.go
+++ b/ctl/load/bound.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// boundStep is the clairvoyant queue's time resolution.
-const boundStep = 2 * time.Millisecond
+// boundResolution is the time step of the simulation.
+const boundResolution = 2 * time.Millisecond
 
-// Bound computes what one clairvoyant queue could do with the same arrivals:
-// it knows every length, sees all servers as one, wastes nothing, finds every
-// shared prompt beginning cached, and never starts a call that has missed its
-// first-token target. The best of several orders is taken per phase, so that it
-// bounds all of them; it is no proof of optimality.
-func (p *Profile) Bound(arrivals []Arrival, r *Report) {
-	for _, order := range []func(a, b *job) bool{byTierThenDue, byDue, byLength} {
-		tokens, calls := p.clairvoyant(arrivals, order)
+// AddUpperBounds simulates a single clairvoyant queue over the same arrivals and
+// stores its throughput in the report. The queue knows every output length, treats
+// all engines as one, wastes no tokens, finds every shared prompt prefix cached, and
+// never starts a call that has missed its first-token target. Each phase takes the
+// best of several queue orders, so the result bounds those orders; it is not proven
+// to be optimal.
+func (p *Profile) AddUpperBounds(arrivals []Arrival, r *Report) {
+	for _, order := range []func(a, b *job) bool{byTierThenDeadline, byDeadline, byTokensLeft} {
+		tokens, calls := p.simulateClairvoyant(arrivals, order)
 		for k := range r.Phases {
 			seconds := p.Phases[k].Duration.D().Seconds()
 			r.Phases[k].BoundGoodput = max(r.Phases[k].BoundGoodput, float64(tokens[k])/seconds)
@@ -24,96 +25,96 @@
 	}
 }
 
-// job is an arrival in the clairvoyant queue.
+// job is a queued or running call of the simulation.
 type job struct {
 	Arrival
-	tier int
-	due  time.Duration // latest start for the first-token target
-	left float64       // tokens to generate
-	// prefill is the engine time in microseconds for the part of the prompt
-	// that no other call shares.
-	prefill float64
+	tier          int
+	startDeadline time.Duration // latest start that can meet the first-token target
+	tokensLeft    float64       // tokens still to generate
+	// prefillMicros is the engine time for the part of the prompt that no other
+	// call shares.
+	prefillMicros float64
 }
 
-func byTierThenDue(a, b *job) bool {
+func byTierThenDeadline(a, b *job) bool {
 	if a.tier != b.tier {
 		return a.tier < b.tier
 	}
-	return a.due < b.due
+	return a.startDeadline < b.startDeadline
 }
 
-func byDue(a, b *job) bool    { return a.due < b.due }
-func byLength(a, b *job) bool { return a.left < b.left }
+func byDeadline(a, b *job) bool   { return a.startDeadline < b.startDeadline }
+func byTokensLeft(a, b *job) bool { return a.tokensLeft < b.tokensLeft }
 
-// clairvoyant runs the model calls on the fleet; plain service calls count as
-// attained, since they do not compete for engines.
-func (p *Profile) clairvoyant(arrivals []Arrival, less func(a, b *job) bool) (tokens, calls []int) {
+// simulateClairvoyant returns the tokens and calls completed per phase of arrival.
+// Calls of plain services count as completed, since they do not compete for engines.
+func (p *Profile) simulateClairvoyant(arrivals []Arrival, less func(a, b *job) bool) (tokens, calls []int) {
 	tokens, calls = make([]int, len(p.Phases)), make([]int, len(p.Phases))
-	f := p.Fleet.Engines
-	slots := f.Count * f.Slots
+	engines := p.Fleet.Engines
+	slots := engines.Count * engines.Slots
 	var queue, running []*job
 	next := 0
-	debt := 0.0 // prompt reading that engines still owe, per engine
-	for now := time.Duration(0); next < len(arrivals) || len(queue)+len(running) > 0; now += boundStep {
+	prefillBacklog := 0.0 // outstanding prefill time per engine, in microseconds
+	for now := time.Duration(0); next < len(arrivals) || len(queue)+len(running) > 0; now += boundResolution {
 		for ; next < len(arrivals) && arrivals[next].At <= now; next++ {
 			a := arrivals[next]
 			if p.Streams[a.Stream].Model == "" {
 				calls[a.Phase]++
 				continue
 			}
-			queue = append(queue, p.job(a))
+			queue = append(queue, p.newJob(a))
 		}
-		queue = dropLate(queue, now)
+		queue = dropExpired(queue, now)
 		sort.SliceStable(queue, func(i, j int) bool { return less(queue[i], queue[j]) })
-		prefill := 0.0
+		newPrefill := 0.0
 		for len(queue) > 0 && len(running) < slots {
-			prefill += queue[0].prefill
+			newPrefill += queue[0].prefillMicros
 			running = append(running, queue[0])
 			queue = queue[1:]
 		}
-		perEngine := float64(len(running)) / float64(f.Count)
-		step := float64(f.StepBaseMicros) + float64(f.StepPerCallMicros)*perEngine
-		debt += prefill / float64(f.Count)
-		pay := min(debt, float64(boundStep.Microseconds()))
-		debt -= pay
-		done := (float64(boundStep.Microseconds()) - pay) / step
-		kept := running[:0]
+		perEngine := float64(len(running)) / float64(engines.Count)
+		tokenMicros := float64(engines.StepBaseMicros) + float64(engines.StepPerCallMicros)*perEngine
+		prefillBacklog += newPrefill / float64(engines.Count)
+		prefillDone := min(prefillBacklog, float64(boundResolution.Microseconds()))
+		prefillBacklog -= prefillDone
+		tokensPerCall := (float64(boundResolution.Microseconds()) - prefillDone) / tokenMicros
+		unfinished := running[:0]
 		for _, j := range running {
-			if j.left -= done; j.left > 0 {
-				kept = append(kept, j)
+			if j.tokensLeft -= tokensPerCall; j.tokensLeft > 0 {
+				unfinished = append(unfinished, j)
 				continue
 			}
-			tokens[j.Phase] += j.Output
+			tokens[j.Phase] += j.OutputTokens
 			calls[j.Phase]++
 		}
-		running = kept
+		running = unfinished
 	}
 	return tokens, calls
 }
 
-func (p *Profile) job(a Arrival) *job {
-	c := p.Bundle.Classes[p.Streams[a.Stream].Class]
-	out := a.Output
-	if c.MaxOutputTokens > 0 {
-		out = min(out, c.MaxOutputTokens)
+func (p *Profile) newJob(a Arrival) *job {
+	class := p.Bundle.Classes[p.Streams[a.Stream].Class]
+	output := a.OutputTokens
+	if class.MaxOutputTokens > 0 {
+		output = min(output, class.MaxOutputTokens)
 	}
-	a.Output = out
-	return &job{Arrival: a, tier: c.Tier, due: a.At + c.FirstTokenTarget.D(), left: float64(out),
-		prefill: p.prefillMicros(p.Streams[a.Stream])}
+	a.OutputTokens = output
+	return &job{Arrival: a, tier: class.Tier, startDeadline: a.At + class.FirstTokenTarget.D(), tokensLeft: float64(output),
+		prefillMicros: p.prefillMicros(p.Streams[a.Stream])}
 }
 
-// promptBytesPerToken is how the stand-ins count prompt tokens.
+// promptBytesPerToken is the ratio by which fake engines count prompt tokens.
 const promptBytesPerToken = 4
 
 func (p *Profile) prefillMicros(s Stream) float64 {
-	own := float64(s.PromptBytes) / 2 / promptBytesPerToken
-	return own / float64(max(1, p.Fleet.Engines.PrefillPerSecond)) * 1e6
+	unsharedTokens := float64(s.PromptBytes) / 2 / promptBytesPerToken
+	return unsharedTokens / float64(max(1, p.Fleet.Engines.PrefillTokensPerSecond)) * 1e6
 }
 
-func dropLate(queue []*job, now time.Duration) []*job {
+func dropExpired(queue []*job, now time.Duration) []*job {
 	kept := queue[:0]
 	for _, j := range queue {
-		if j.due >= now {
+		if j.startDeadline >= now {
 			kept = append(kept, j)
 		}
 	}
--- a/ctl/load/plot.go
+++ b/ctl/load/plot.go
@@ -19,8 +19,8 @@
 	color.RGBA{200, 90, 60, 255}, color.RGBA{220, 170, 60, 255}, color.RGBA{50, 120, 170, 255}, color.RGBA{90, 150, 90, 255},
 }
 
-// Plot draws the attainment of every class and phase, one bar per report, into
-// a PNG or SVG file.
+// Plot writes a bar chart of the attained share per class and phase, with one bar
+// per report. The file's extension selects the format, such as PNG or SVG.
 func Plot(file, title string, reports []*Report) error {
 	p := plot.New()
 	p.Title.Text = title
--- a/ctl/load/profile.go
+++ b/ctl/load/profile.go
@@ -1,7 +1,7 @@
-// Package load drives traffic as applications do, from a profile, and reports
-// what the callers saw. Arrivals are open loop and drawn before the run from a
-// seed; every latency counts from the drawn arrival, so that a slow system
-// can't hide by slowing its callers down.
+// Package load generates traffic from a profile and reports what the callers
+// observed. The load is open loop: all arrivals are drawn from a seed before the run,
+// and every latency counts from the drawn arrival time. A slow system therefore
+// cannot improve its figures by delaying its callers (coordinated omission).
 package load
 
 import (
@@ -21,71 +21,72 @@
 // Profile describes a deployment's traffic.
 type Profile struct {
 	Name string `toml:"name"`
-	// Bundle holds the classes and pools; customers and keys are filled in.
+	// Bundle holds the classes and pools; whoever runs the profile adds customers and
+	// keys.
 	Bundle bundle.Bundle `toml:"bundle"`
-	// Customers are names with their part of the calls.
+	// Customers maps names to weights, in proportion to which calls are assigned.
 	Customers map[string]float64 `toml:"customers"`
 	Streams   []Stream           `toml:"streams"`
 	Phases    []Phase            `toml:"phases"`
 	Fleet     Fleet              `toml:"fleet"`
 }
 
-// Stream is the arrivals of one class.
+// Stream describes the calls of one class to one pool.
 type Stream struct {
 	Class string `toml:"class"`
-	// Model or Service names the pool.
+	// Model or Service names the pool; exactly one is set.
 	Model   string `toml:"model"`
 	Service string `toml:"service"`
-	// Rate is calls per second in a phase with factor 1.
+	// Rate is the mean arrival rate in calls per second, before the phase's factors.
 	Rate float64 `toml:"rate"`
-	// OutputMedian, OutputSigma and OutputMax give a lognormal length in tokens.
+	// OutputMedian, OutputSigma and OutputMax describe the lognormal distribution of
+	// output lengths, in tokens.
 	OutputMedian float64 `toml:"output_median"`
 	OutputSigma  float64 `toml:"output_sigma"`
 	OutputMax    int     `toml:"output_max"`
-	// PromptBytes is the prompt's length; PromptKinds is how many different
-	// beginnings there are, half of the prompt long.
-	PromptBytes int `toml:"prompt_bytes"`
-	PromptKinds int `toml:"prompt_kinds"`
-	// Keyed calls carry an idempotency key and are repeated with it when the
-	// answer is lost.
+	// PromptBytes is the prompt's length. Its first half is one of DistinctPrefixes
+	// texts that calls share.
+	PromptBytes      int `toml:"prompt_bytes"`
+	DistinctPrefixes int `toml:"prompt_kinds"`
+	// Keyed calls carry an idempotency key, which retries repeat.
 	Keyed bool `toml:"keyed"`
 }
 
-// Phase is a stretch of time with its own rates.
+// Phase is a part of the run with its own rates.
 type Phase struct {
 	Name     string          `toml:"name"`
 	Duration bundle.Duration `toml:"duration"`
-	// Factors multiply the rates of classes; 1 where absent.
-	Factors map[string]float64 `toml:"factors"`
-	// All multiplies every rate; 0 counts as 1.
-	All float64 `toml:"all"`
+	// ClassFactors multiply the rates of single classes; a missing factor is 1.
+	ClassFactors map[string]float64 `toml:"factors"`
+	// OverallFactor multiplies every rate; 0 means 1.
+	OverallFactor float64 `toml:"all"`
 }
 
-// Fleet is the stand-ins that the experiments run.
+// Fleet describes the instances and fake backend servers of an experiment.
 type Fleet struct {
 	Zones     []string    `toml:"zones"`
 	Instances int         `toml:"instances"`
 	Engines   EngineFleet `toml:"engines"`
-	// Services maps plain services to the number of their servers.
-	Services     map[string]int `toml:"services"`
-	ServiceSlots int            `toml:"service_slots"`
-	ServiceDelay int            `toml:"service_delay_ms"`
+	// Services maps plain services to their number of servers.
+	Services           map[string]int `toml:"services"`
+	ServiceSlots       int            `toml:"service_slots"`
+	ServiceDelayMillis int            `toml:"service_delay_ms"`
 }
 
-// EngineFleet is a number of alike engines.
+// EngineFleet describes identical fake engines; see fake.EngineConfig.
 type EngineFleet struct {
-	Pool              string `toml:"pool"`
-	Count             int    `toml:"count"`
-	Slots             int    `toml:"slots"`
-	StepBaseMicros    int    `toml:"step_base_us"`
-	StepPerCallMicros int    `toml:"step_per_call_us"`
-	PrefillPerSecond  int    `toml:"prefill_tokens_per_second"`
-	CachePrefixes     int    `toml:"cache_prefixes"`
-	ReportLagMillis   int    `toml:"report_lag_ms"`
-	CacheGapPercent   int    `toml:"cache_gap_percent"`
+	Pool                   string `toml:"pool"`
+	Count                  int    `toml:"count"`
+	Slots                  int    `toml:"slots"`
+	StepBaseMicros         int    `toml:"step_base_us"`
+	StepPerCallMicros      int    `toml:"step_per_call_us"`
+	PrefillTokensPerSecond int    `toml:"prefill_tokens_per_second"`
+	CachePrefixes          int    `toml:"cache_prefixes"`
+	ReportLagMillis        int    `toml:"report_lag_ms"`
+	CacheEventLossPercent  int    `toml:"cache_gap_percent"`
 }
 
-// LoadProfile reads a TOML file; unknown keys are errors.
+// LoadProfile reads and validates a TOML file; unknown keys are errors.
 func LoadProfile(file string) (*Profile, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -97,10 +98,10 @@
 	if err := dec.Decode(&p); err != nil {
 		return nil, eris.Wrapf(err, "profile %s", file)
 	}
-	return &p, p.check()
+	return &p, p.validate()
 }
 
-func (p *Profile) check() error {
+func (p *Profile) validate() error {
 	if len(p.Customers) == 0 || len(p.Streams) == 0 || len(p.Phases) == 0 {
 		return eris.Errorf("profile %q needs customers, streams and phases", p.Name)
 	}
@@ -118,27 +119,28 @@
 	return nil
 }
 
-// Duration returns the length of all phases.
+// Duration returns the total length of all phases.
 func (p *Profile) Duration() time.Duration {
 	d := time.Duration(0)
-	for _, x := range p.Phases {
-		d += x.Duration.D()
+	for _, phase := range p.Phases {
+		d += phase.Duration.D()
 	}
 	return d
 }
 
-// Arrival is one drawn call.
+// Arrival is one call of a run.
 type Arrival struct {
-	At       time.Duration
-	Stream   int
-	Phase    int
-	Customer string
-	Output   int
-	Kind     int
-	Number   int
+	At           time.Duration // since the start of the run
+	Stream       int           // index in Profile.Streams
+	Phase        int           // index in Profile.Phases
+	Customer     string
+	OutputTokens int
+	PrefixIndex  int // which of the stream's shared prompt prefixes is used
+	Index        int // position in the order of arrival
 }
 
-// Arrivals draws all calls of a run; equal seeds draw equal calls.
+// Arrivals draws all calls of a run, in the order of arrival. The result depends only
+// on the profile and the seed.
 func (p *Profile) Arrivals(seed int64) []Arrival {
 	rnd := rand.New(rand.NewSource(seed))
 	var out []Arrival
@@ -151,17 +153,17 @@
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
 	for i := range out {
-		out[i].Number = i
+		out[i].Index = i
 	}
 	return out
 }
 
-func (ph Phase) factor(class string) float64 {
+func (ph Phase) rateFactor(class string) float64 {
 	f := 1.0
-	if ph.All > 0 {
-		f = ph.All
+	if ph.OverallFactor > 0 {
+		f = ph.OverallFactor
 	}
-	if x, ok := ph.Factors[class]; ok {
+	if x, ok := ph.ClassFactors[class]; ok {
 		f *= x
 	}
 	return f
@@ -169,16 +171,16 @@
 
 func (p *Profile) drawPhase(rnd *rand.Rand, phase, stream int, start time.Duration) []Arrival {
 	st, ph := p.Streams[stream], p.Phases[phase]
-	rate := st.Rate * ph.factor(st.Class)
+	rate := st.Rate * ph.rateFactor(st.Class)
 	var out []Arrival
 	for t := rnd.ExpFloat64() / rate; t < ph.Duration.D().Seconds(); t += rnd.ExpFloat64() / rate {
 		out = append(out, Arrival{At: start + time.Duration(t*float64(time.Second)), Stream: stream, Phase: phase,
-			Customer: p.drawCustomer(rnd), Output: st.drawOutput(rnd), Kind: rnd.Intn(max(1, st.PromptKinds))})
+			Customer: p.drawCustomer(rnd), OutputTokens: st.drawOutputTokens(rnd), PrefixIndex: rnd.Intn(max(1, st.DistinctPrefixes))})
 	}
 	return out
 }
 
-func (s Stream) drawOutput(rnd *rand.Rand) int {
+func (s Stream) drawOutputTokens(rnd *rand.Rand) int {
 	if s.OutputMedian == 0 {
 		return 0
 	}
@@ -189,23 +191,23 @@
 func (p *Profile) drawCustomer(rnd *rand.Rand) string {
 	names := p.CustomerNames()
 	total := 0.0
-	for _, n := range names {
-		total += p.Customers[n]
+	for _, name := range names {
+		total += p.Customers[name]
 	}
 	x := rnd.Float64() * total
-	for _, n := range names {
-		if x -= p.Customers[n]; x < 0 {
-			return n
+	for _, name := range names {
+		if x -= p.Customers[name]; x < 0 {
+			return name
 		}
 	}
 	return names[len(names)-1]
 }
 
-// CustomerNames lists the customers, sorted.
+// CustomerNames returns the customers' names, sorted.
 func (p *Profile) CustomerNames() []string {
 	var names []string
-	for n := range p.Customers {
-		names = append(names, n)
+	for name := range p.Customers {
+		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -16,160 +16,162 @@
 
 // Target is where a run sends its calls.
 type Target struct {
-	// Instances are caller addresses to ask for addresses.
+	// Instances are the caller addresses of instances that answer address lookups.
 	Instances []string
 	// Keys maps customers to bearer keys.
 	Keys map[string]string
-	// Zones are the callers' zones, used in turn.
+	// Zones are the callers' availability zones, used in round-robin order.
 	Zones []string
 }
 
-// Sample is one call's fate.
+// Sample records one call.
 type Sample struct {
 	Arrival Arrival
 	Class   string
 	Result  *caller.Result
-	// FirstToken and Total count from the drawn arrival.
+	// FirstToken and Total count from the drawn arrival time.
 	FirstToken, Total time.Duration
-	// Attained: completed within all targets of the class.
+	// Attained reports whether the call completed within all targets of its class.
 	Attained bool
-	// Sends is how often the caller sent the call.
-	Sends int
+	// Attempts is how often the caller sent the call.
+	Attempts int
 }
 
-// Progress is told about a run now and then.
-type Progress func(done, all int, elapsed time.Duration)
+// Progress is called about once a second during a run.
+type Progress func(completed, total int, elapsed time.Duration)
 
 const (
-	// maxSends bounds how often a caller sends one call.
-	maxSends       = 4
-	progressPeriod = time.Second
-	resendPause    = 50 * time.Millisecond
+	maxAttempts      = 4
+	progressInterval = time.Second
+	retryDelay       = 50 * time.Millisecond
 )
 
-// directory keeps the address list as callers do.
-type directory struct {
-	target *Target
-	mu     sync.Mutex
-	lists  map[string]cachedList
-	turn   int
+// addressCache caches address lists per customer and zone until they expire, as
+// callers are expected to do.
+type addressCache struct {
+	target       *Target
+	mu           sync.Mutex
+	lists        map[string]cachedList
+	nextInstance int
 }
 
 type cachedList struct {
 	addresses []string
-	until     time.Time
+	expires   time.Time
 }
 
-// pick returns the n-th best address for a customer in a zone.
-func (d *directory) pick(ctx context.Context, customer, zone string, n int) string {
+// address returns the address for an attempt, counted from 0: the list's next one for
+// each retry. A retry also refreshes the list.
+func (d *addressCache) address(ctx context.Context, customer, zone string, attempt int) string {
 	key := customer + "\x00" + zone
 	d.mu.Lock()
-	l, ok := d.lists[key]
+	list, ok := d.lists[key]
 	d.mu.Unlock()
-	if !ok || time.Now().After(l.until) || n > 0 {
-		l = d.refresh(ctx, key, zone, n)
+	if !ok || time.Now().After(list.expires) || attempt > 0 {
+		list = d.refresh(ctx, key, zone, attempt)
 	}
-	if len(l.addresses) == 0 {
-		return d.target.Instances[n%len(d.target.Instances)]
+	if len(list.addresses) == 0 {
+		return d.target.Instances[attempt%len(d.target.Instances)]
 	}
-	return l.addresses[n%len(l.addresses)]
+	return list.addresses[attempt%len(list.addresses)]
 }
 
-const askTimeout = 500 * time.Millisecond
+const lookupTimeout = 500 * time.Millisecond
 
-func (d *directory) refresh(ctx context.Context, key, zone string, n int) cachedList {
+func (d *addressCache) refresh(ctx context.Context, key, zone string, attempt int) cachedList {
 	for range d.target.Instances {
 		d.mu.Lock()
-		d.turn++
-		ask := d.target.Instances[d.turn%len(d.target.Instances)]
+		d.nextInstance++
+		instance := d.target.Instances[d.nextInstance%len(d.target.Instances)]
 		d.mu.Unlock()
-		actx, cancel := context.WithTimeout(ctx, askTimeout)
-		list, err := caller.Addresses(actx, ask, zone)
+		lookupCtx, cancel := context.WithTimeout(ctx, lookupTimeout)
+		list, err := caller.Addresses(lookupCtx, instance, zone)
 		cancel()
 		if err != nil || len(list.Addresses) == 0 {
 			continue
 		}
-		l := cachedList{list.Addresses, time.Now().Add(time.Duration(list.TTLMillis) * time.Millisecond)}
+		cached := cachedList{list.Addresses, time.Now().Add(time.Duration(list.TTLMillis) * time.Millisecond)}
 		d.mu.Lock()
-		d.lists[key] = l
+		d.lists[key] = cached
 		d.mu.Unlock()
-		return l
+		return cached
 	}
 	return cachedList{}
 }
 
-// Run makes all calls at their times and waits for their ends.
+// Run sends all calls at their arrival times and waits until they have ended.
 func Run(ctx context.Context, p *Profile, t *Target, arrivals []Arrival, progress Progress) []Sample {
-	d := &directory{target: t, lists: map[string]cachedList{}}
+	addresses := &addressCache{target: t, lists: map[string]cachedList{}}
 	samples := make([]Sample, len(arrivals))
-	var done atomic.Int64
+	var completed atomic.Int64
 	var wg sync.WaitGroup
 	start := time.Now()
-	stop := reportProgress(progress, &done, len(arrivals), start)
+	stopProgress := reportProgress(progress, &completed, len(arrivals), start)
 	for k, a := range arrivals {
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Until(start.Add(a.At))):
 		}
 		wg.Go(func() {
-			samples[k] = p.make(ctx, d, a, start.Add(a.At))
-			done.Add(1)
+			samples[k] = p.call(ctx, addresses, a, start.Add(a.At))
+			completed.Add(1)
 		})
 	}
 	wg.Wait()
-	stop()
+	stopProgress()
 	return samples
 }
 
-func reportProgress(progress Progress, done *atomic.Int64, all int, start time.Time) func() {
+func reportProgress(progress Progress, completed *atomic.Int64, total int, start time.Time) func() {
 	if progress == nil {
 		return func() {}
 	}
 	quit := make(chan struct{})
 	go func() {
-		ticker := time.NewTicker(progressPeriod)
+		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-quit:
 				return
 			case <-ticker.C:
-				progress(int(done.Load()), all, time.Since(start))
+				progress(int(completed.Load()), total, time.Since(start))
 			}
 		}
 	}()
 	return func() { close(quit) }
 }
 
-// make plays one caller: it sends the call, and again to another entry when
-// no answer came or the entry said to go elsewhere. A call that the system
-// gave up on is not sent again.
-func (p *Profile) make(ctx context.Context, d *directory, a Arrival, due time.Time) Sample {
-	st := p.Streams[a.Stream]
-	class := p.Bundle.Classes[st.Class]
-	zone := d.target.Zones[a.Number%len(d.target.Zones)]
-	req := p.request(st, a, d.target.Keys[a.Customer])
-	s := Sample{Arrival: a, Class: st.Class}
-	for s.Sends = 1; ; s.Sends++ {
-		req.Address = d.pick(ctx, a.Customer, zone, s.Sends-1)
-		sent := time.Since(due)
-		req.Deadline = class.Deadline.D() - sent
+// call sends one call. It tries another entry if no answer came or if the error says
+// that another entry can answer; calls that the system rejected for good are not
+// repeated.
+func (p *Profile) call(ctx context.Context, addresses *addressCache, a Arrival, arrivalTime time.Time) Sample {
+	stream := p.Streams[a.Stream]
+	class := p.Bundle.Classes[stream.Class]
+	zone := addresses.target.Zones[a.Index%len(addresses.target.Zones)]
+	req := p.newRequest(stream, a, addresses.target.Keys[a.Customer])
+	sample := Sample{Arrival: a, Class: stream.Class}
+	for sample.Attempts = 1; ; sample.Attempts++ {
+		req.Address = addresses.address(ctx, a.Customer, zone, sample.Attempts-1)
+		sendDelay := time.Since(arrivalTime)
+		req.Deadline = class.Deadline.D() - sendDelay
 		if req.Deadline <= 0 {
 			req.Deadline = time.Millisecond
 		}
-		s.Result = caller.Do(ctx, req)
-		s.FirstToken = sent + s.Result.FirstToken
-		s.Total = sent + s.Result.Total
-		if s.Sends >= maxSends || ctx.Err() != nil || !goesElsewhere(s.Result, class) {
+		sample.Result = caller.Do(ctx, req)
+		sample.FirstToken = sendDelay + sample.Result.FirstToken
+		sample.Total = sendDelay + sample.Result.Total
+		if sample.Attempts >= maxAttempts || ctx.Err() != nil || !retryable(sample.Result, class) {
 			break
 		}
-		time.Sleep(resendPause)
+		time.Sleep(retryDelay)
 	}
-	s.Attained = s.Result.Transport == nil && s.Result.Error == nil && s.Result.Correct && class.Attained(s.FirstToken, s.Total, s.Result.Tokens)
-	return s
+	sample.Attained = sample.Result.Transport == nil && sample.Result.Error == nil && sample.Result.Correct && class.Attained(sample.FirstToken, sample.Total, sample.Result.Tokens)
+	return sample
 }
 
-func goesElsewhere(r *caller.Result, class bundle.Class) bool {
+// retryable reports whether a caller should send the call to another entry.
+func retryable(r *caller.Result, class bundle.Class) bool {
 	if r.Transport != nil {
 		return true
 	}
@@ -185,26 +187,26 @@
 	return false
 }
 
-func (p *Profile) request(st Stream, a Arrival, key string) *caller.Request {
-	r := &caller.Request{Customer: key, Class: st.Class, Stream: true}
-	if st.Keyed {
+func (p *Profile) newRequest(stream Stream, a Arrival, key string) *caller.Request {
+	r := &caller.Request{Customer: key, Class: stream.Class, Stream: true}
+	if stream.Keyed {
 		r.Key = caller.NewKey()
 	}
-	if st.Service != "" {
-		r.Service, r.Path = st.Service, "/do"
-		r.Body = fmt.Appendf(nil, `{"call":%d}`, a.Number)
+	if stream.Service != "" {
+		r.Service, r.Path = stream.Service, "/do"
+		r.Body = fmt.Appendf(nil, `{"call":%d}`, a.Index)
 		return r
 	}
-	r.Model = st.Model
-	r.Output = a.Output
-	r.MaxTokens = p.Bundle.Classes[st.Class].MaxOutputTokens
-	shared := strings.Repeat(fmt.Sprintf("%s-%d ", st.Class, a.Kind), max(1, st.PromptBytes/2/(len(st.Class)+4)))
-	own := strings.Repeat(fmt.Sprintf("call-%d ", a.Number), max(1, st.PromptBytes/2/12))
-	r.Prompt = []string{shared, own}
+	r.Model = stream.Model
+	r.Output = a.OutputTokens
+	r.MaxTokens = p.Bundle.Classes[stream.Class].MaxOutputTokens
+	shared := strings.Repeat(fmt.Sprintf("%s-%d ", stream.Class, a.PrefixIndex), max(1, stream.PromptBytes/2/(len(stream.Class)+4)))
+	unshared := strings.Repeat(fmt.Sprintf("call-%d ", a.Index), max(1, stream.PromptBytes/2/12))
+	r.Prompt = []string{shared, unshared}
 	return r
 }
 
-// Shed reports whether the system gave the call up without running it.
+// Shed reports whether the system rejected the call without running it.
 func (s *Sample) Shed() bool {
 	return s.Result.Error != nil && s.Result.Outcome == state.OutcomeNotRun
 }
