--- a/ctl/caller/caller.go
+++ b/ctl/caller/caller.go
@@ -76,7 +76,7 @@
 	Complete bool
 	Correct  bool
 	// Service is a plain service's answer.
-	Service    fake.ServiceAnswer
+	Service    fake.ServiceResponse
 	FirstToken time.Duration
 	Total      time.Duration
 	// Transport is set when no final answer came at all.
@@ -163,7 +163,7 @@
 		res.FirstToken = time.Since(start)
 	}
 	res.Total = time.Since(start)
-	res.Tokens = fake.Tokens(text)
+	res.Tokens = fake.CountTokens(text)
 	if err != nil {
 		res.Transport = err
 		return res
@@ -172,7 +172,7 @@
 	if r.MaxTokens > 0 {
 		want = min(want, r.MaxTokens)
 	}
-	res.Correct = res.Complete && text == fake.Text(fake.PromptHash(r.messages()), want)
+	res.Correct = res.Complete && text == fake.AnswerText(fake.PromptHash(r.messages()), want)
 	return res
 }
 
--- a/ctl/commands/fake.go
+++ b/ctl/commands/fake.go
@@ -20,6 +20,6 @@
 			}
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			return fake.NewWorld(cfg).Run(ctx)
+			return fake.NewRunner(cfg).Run(ctx)
 		}}
 }
--- a/ctl/fake/control.go
+++ b/ctl/fake/control.go
@@ -6,102 +6,105 @@
 	"time"
 )
 
-// State is what the control page tells.
+// State is the answer to GET /state: what the fake servers have observed.
 type State struct {
 	Engines map[string]EngineState `json:"engines"`
-	// LastStart is when each server last got new work.
-	LastStart map[string]time.Time `json:"last_start"`
-	// Retired is when each server learned that it is retired.
+	// LastNewRequest is when each server last received a request other than a
+	// cancellation or the resumption of a stream.
+	LastNewRequest map[string]time.Time `json:"last_start"`
+	// Retired is when each retired server was first told so.
 	Retired map[string]time.Time `json:"retired"`
-	// Crashes are the times at which servers ended under a call.
+	// Crashes are the times at which calls crashed each server.
 	Crashes map[string][]time.Time `json:"crashes"`
 }
 
-// EngineState is one engine's counters.
+// EngineState holds one engine's counters.
 type EngineState struct {
-	Running   int   `json:"running"`
-	Queued    int   `json:"queued"`
-	Generated int64 `json:"generated_tokens"`
-	Requests  int   `json:"requests"`
-	// Cancelled tokens were generated for calls that ended early.
-	Cancelled int64 `json:"cancelled_tokens"`
-	// Version is loaded; Orders came in this order.
-	Version string       `json:"version"`
-	Orders  []TakenOrder `json:"orders"`
+	Running         int   `json:"running"`
+	Queued          int   `json:"queued"`
+	GeneratedTokens int64 `json:"generated_tokens"`
+	Requests        int   `json:"requests"`
+	// CancelledTokens were generated for calls that were cancelled or abandoned.
+	CancelledTokens int64 `json:"cancelled_tokens"`
+	// Version is the loaded version, empty if none was ordered.
+	Version string `json:"version"`
+	// Orders are all received orders, refused ones included, in the order of arrival.
+	Orders []ReceivedOrder `json:"orders"`
 }
 
-// Steer changes one engine.
-type Steer struct {
+// EngineAdjustment changes how one engine behaves. It is the body of POST /steer.
+type EngineAdjustment struct {
 	Engine string `json:"engine"`
-	// Slowdown multiplies its times; 1 is normal.
+	// Slowdown multiplies the time of each step; 1 is normal, 0 leaves it unchanged.
 	Slowdown float64 `json:"slowdown"`
-	// Down makes it break all its connections and refuse new ones.
+	// Down makes the engine abort all requests and stop announcing itself.
 	Down bool `json:"down"`
-	// RequestsPerSecond is the limit that it announces from now on; nil for none.
+	// RequestsPerSecond is the request limit that the engine announces from now on,
+	// nil for none.
 	RequestsPerSecond *float64 `json:"requests_per_second,omitempty"`
-	// LagMillis delays its load reports.
-	LagMillis *int `json:"report_lag_ms,omitempty"`
+	// ReportLagMillis delays the engine's load reports; nil leaves the delay unchanged.
+	ReportLagMillis *int `json:"report_lag_ms,omitempty"`
 }
 
-func (w *World) control() http.Handler {
+func (runner *Runner) controlHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /state", func(rw http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(rw).Encode(w.State()) })
+	mux.HandleFunc("GET /state", func(rw http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(rw).Encode(runner.State()) })
 	mux.HandleFunc("GET /runs", func(rw http.ResponseWriter, r *http.Request) {
-		_ = json.NewEncoder(rw).Encode(w.ledger.Runs(r.URL.Query().Get("key")))
+		_ = json.NewEncoder(rw).Encode(runner.executions.Executions(r.URL.Query().Get("key")))
 	})
 	mux.HandleFunc("POST /steer", func(rw http.ResponseWriter, r *http.Request) {
-		var s Steer
-		if err := json.NewDecoder(r.Body).Decode(&s); err != nil {
+		var a EngineAdjustment
+		if err := json.NewDecoder(r.Body).Decode(&a); err != nil {
 			http.Error(rw, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if !w.steer(s) {
+		if !runner.adjustEngine(a) {
 			http.Error(rw, "no such engine", http.StatusNotFound)
 		}
 	})
 	return mux
 }
 
-// State returns all counters.
-func (w *World) State() State {
-	out := State{Engines: map[string]EngineState{}, LastStart: map[string]time.Time{}, Retired: map[string]time.Time{}, Crashes: map[string][]time.Time{}}
-	for id, e := range w.engines {
+// State returns the state of all servers.
+func (runner *Runner) State() State {
+	out := State{Engines: map[string]EngineState{}, LastNewRequest: map[string]time.Time{}, Retired: map[string]time.Time{}, Crashes: map[string][]time.Time{}}
+	for id, e := range runner.engines {
 		e.mu.Lock()
-		out.Engines[id] = EngineState{Running: len(e.running), Queued: len(e.waiting), Generated: e.generated, Requests: e.requests, Cancelled: e.cancelled,
-			Version: e.loaded.version, Orders: append([]TakenOrder(nil), e.orders...)}
+		out.Engines[id] = EngineState{Running: len(e.running), Queued: len(e.waiting), GeneratedTokens: e.generatedTokens, Requests: e.requestCount, CancelledTokens: e.cancelledTokens,
+			Version: e.loadedModel.version, Orders: append([]ReceivedOrder(nil), e.orders...)}
 		e.mu.Unlock()
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for k, v := range w.starts {
-		out.LastStart[k] = v
+	runner.mu.Lock()
+	defer runner.mu.Unlock()
+	for k, v := range runner.lastNewRequest {
+		out.LastNewRequest[k] = v
 	}
-	for k, v := range w.retired {
+	for k, v := range runner.retiredAt {
 		out.Retired[k] = v
 	}
-	for k, s := range w.servers {
+	for k, s := range runner.servers {
 		out.Crashes[k] = s.Crashes()
 	}
 	return out
 }
 
-func (w *World) steer(s Steer) bool {
-	e := w.engines[s.Engine]
+func (runner *Runner) adjustEngine(a EngineAdjustment) bool {
+	e := runner.engines[a.Engine]
 	if e == nil {
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.Slowdown > 0 {
-		e.slowdown = s.Slowdown
+	if a.Slowdown > 0 {
+		e.slowdown = a.Slowdown
 	}
-	if s.LagMillis != nil {
-		e.cfg.ReportLagMillis = *s.LagMillis
+	if a.ReportLagMillis != nil {
+		e.cfg.ReportLagMillis = *a.ReportLagMillis
 	}
-	e.down, e.limit = s.Down, s.RequestsPerSecond
-	if s.Down {
+	e.down, e.requestLimit = a.Down, a.RequestsPerSecond
+	if a.Down {
 		for _, x := range append(e.running, e.waiting...) {
-			e.end(time.Now(), x)
+			e.finish(time.Now(), x)
 		}
 		e.running, e.waiting = nil, nil
 	}
--- a/ctl/fake/engine_test.go
+++ b/ctl/fake/engine_test.go
@@ -12,8 +12,8 @@
 	"cardamomwick.example/core/api"
 )
 
-// events reads a stream's text and whether it ended with the end marker.
-func events(t *testing.T, method, url, body string) (text string, ended bool) {
+// readStream returns a stream's text and whether it ended with the end marker.
+func readStream(t *testing.T, method, url, body string) (text string, ended bool) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -37,8 +37,8 @@
 	return text, ended
 }
 
-// TestEngineContinuesAndResumes: a whole answer, its resumed end and a
-// continuation behind a partial answer all come from one text.
+// A complete answer, its resumed end and the continuation of a partial answer must all
+// be parts of the same text: callers check answers against it.
 func TestEngineContinuesAndResumes(t *testing.T) {
 	e := NewEngine(EngineConfig{ID: "e", Slots: 2, StepBaseMicros: 200, PrefillTokensPerSecond: 100000, CachePrefixes: 8})
 	ctx, stop := context.WithCancel(context.Background())
@@ -47,18 +47,18 @@
 	s := httptest.NewServer(e)
 	defer s.Close()
 	prompt := `{"role":"user","content":"light"}`
-	whole, ended := events(t, "POST", s.URL+api.PathChat, `{"messages":[`+prompt+`],"metadata":{"output_tokens":12}}`)
-	if Tokens(whole) != 12 || !ended {
-		t.Fatalf("%q, ended %t", whole, ended)
+	whole, ended := readStream(t, "POST", s.URL+api.PathChat, `{"messages":[`+prompt+`],"metadata":{"output_tokens":12}}`)
+	if CountTokens(whole) != 12 || !ended {
+		t.Fatalf("got answer %q, end marker %t; want 12 tokens and an end marker", whole, ended)
 	}
-	rest, ended := events(t, "GET", s.URL+"/v1/streams/r1?attempt=1&offset=9", "")
-	if !ended || !strings.HasSuffix(whole, rest) || Tokens(rest) != 3 {
-		t.Fatalf("resumed %q of %q", rest, whole)
+	rest, ended := readStream(t, "GET", s.URL+"/v1/streams/r1?attempt=1&offset=9", "")
+	if !ended || !strings.HasSuffix(whole, rest) || CountTokens(rest) != 3 {
+		t.Fatalf("resumed at token 9: got %q, end marker %t; want the last 3 tokens of %q and an end marker", rest, ended, whole)
 	}
 	partial := whole[:strings.Index(whole, ".5 ")+3]
 	body := fmt.Sprintf(`{"messages":[%s,{"role":"assistant","content":%q}],"continue_final_message":true,"metadata":{"output_tokens":12}}`, prompt, partial)
-	more, ended := events(t, "POST", s.URL+api.PathChat, body)
+	more, ended := readStream(t, "POST", s.URL+api.PathChat, body)
 	if partial+more != whole || !ended {
-		t.Fatalf("%q and %q do not make %q", partial, more, whole)
+		t.Fatalf("continuation of %q is %q, end marker %t; want the rest of %q and an end marker", partial, more, ended, whole)
 	}
 }
--- a/ctl/fake/service.go
+++ b/ctl/fake/service.go
@@ -13,81 +13,81 @@
 	"cardamomwick.example/core/api"
 )
 
-// ServiceConfig describes a stand-in plain service.
+// ServiceConfig describes a fake plain service.
 type ServiceConfig struct {
 	ID      string `toml:"id"`
 	Address string `toml:"address"`
 	Zone    string `toml:"availability_zone"`
 	Pool    string `toml:"pool"`
 	Token   string `toml:"token"`
-	// Slots is how many calls it takes at once.
+	// Slots is the number of concurrent calls that the service announces.
 	Slots int `toml:"slots"`
-	// DelayMillis is the time of one call.
+	// DelayMillis is the duration of one call.
 	DelayMillis int `toml:"delay_ms"`
 }
 
-// maxServiceBody bounds a call.
-const (
-	maxServiceBody = 4 << 20
-)
+const maxServiceBodyBytes = 4 << 20
 
-// Run is one execution at a service.
-type Run struct {
+// Execution is one execution of a call at a service.
+type Execution struct {
 	Key    string    `json:"key"`
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
 }
 
-// Ledger counts executions over all services of a process.
-type Ledger struct {
-	mu   sync.Mutex
-	runs []Run
+// ExecutionLog records the executions at all services of a process, so that tests can
+// tell whether a call ran more than once.
+type ExecutionLog struct {
+	mu         sync.Mutex
+	executions []Execution
 }
 
-func (l *Ledger) add(r Run) int {
+func (l *ExecutionLog) record(e Execution) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs = append(l.runs, r)
-	n := 0
-	for _, x := range l.runs {
-		if x.Key == r.Key {
-			n++
+	l.executions = append(l.executions, e)
+	count := 0
+	for _, x := range l.executions {
+		if x.Key == e.Key {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Runs returns the executions of a key, or all for "".
-func (l *Ledger) Runs(key string) []Run {
+// Executions returns the executions of a key, or all of them for an empty key.
+func (l *ExecutionLog) Executions(key string) []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := []Run{}
-	for _, r := range l.runs {
-		if key == "" || r.Key == key {
-			out = append(out, r)
+	out := []Execution{}
+	for _, e := range l.executions {
+		if key == "" || e.Key == key {
+			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// Service is a stand-in plain service.
+// Service is a fake plain service.
 type Service struct {
-	cfg    ServiceConfig
-	ledger *Ledger
-	mu     sync.Mutex
-	active int
+	cfg         ServiceConfig
+	executions  *ExecutionLog
+	mu          sync.Mutex
+	activeCalls int
 }
 
-// NewService returns a service that books its runs in the ledger.
-func NewService(cfg ServiceConfig, l *Ledger) *Service { return &Service{cfg: cfg, ledger: l} }
+// NewService returns a service that records its executions in a log.
+func NewService(cfg ServiceConfig, l *ExecutionLog) *Service {
+	return &Service{cfg: cfg, executions: l}
+}
 
-// ServiceAnswer is what a service answers: enough to check that it belongs to
-// the request.
-type ServiceAnswer struct {
+// ServiceResponse is the body of a service's answer. It lets the caller check that the
+// answer belongs to its request.
+type ServiceResponse struct {
 	Server string `json:"server"`
 	Path   string `json:"path"`
 	Digest string `json:"digest"`
-	// Run is 1 for the first execution of the key.
+	// Run counts the executions of the key, starting at 1.
 	Run int `json:"run"`
 }
 
@@ -97,11 +97,12 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// behaviour of a call comes with its body, since headers of callers are not
-// passed on. The JSON field "fake" is "refuse" or "refuse-first" (503, not
-// started; the latter on the first attempt only), "hang" (run, never answer),
-// "break" (run, cut the connection) or "fail" (run, then 500).
-func behaviour(body []byte) (kind string, delay time.Duration) {
+// requestedBehaviour returns the behaviour that a call asks for in its body, since
+// callers' headers are not forwarded. The JSON field "fake" is "refuse" (status 503, not
+// started), "refuse-first" (the same on the first attempt only), "hang" (execute and
+// never answer), "break" (execute and close the connection) or "fail" (execute and
+// answer with status 500).
+func requestedBehaviour(body []byte) (behaviour string, delay time.Duration) {
 	var b struct {
 		Fake  string `json:"fake"`
 		Delay int    `json:"delay_ms"`
@@ -112,34 +113,34 @@
 	return b.Fake, time.Duration(b.Delay) * time.Millisecond
 }
 
-// ServeHTTP runs one call.
+// ServeHTTP executes one call.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxServiceBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxServiceBodyBytes))
 	if err != nil {
 		return
 	}
-	kind, delay := behaviour(body)
-	if kind == "refuse" || (kind == "refuse-first" && r.Header.Get(api.HeaderAttempt) == "1") {
+	behaviour, delay := requestedBehaviour(body)
+	if behaviour == "refuse" || (behaviour == "refuse-first" && r.Header.Get(api.HeaderAttempt) == "1") {
 		w.Header().Set(api.HeaderNotStarted, "true")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.count(1)
-	defer s.count(-1)
+	s.addActiveCalls(1)
+	defer s.addActiveCalls(-1)
 	key := r.Header.Get(api.HeaderKey)
 	if key == "" {
 		key = "request:" + r.Header.Get(api.HeaderRequestID)
 	}
-	n := s.ledger.add(Run{key, s.cfg.ID, time.Now()})
+	executionCount := s.executions.record(Execution{key, s.cfg.ID, time.Now()})
 	if delay == 0 {
 		delay = time.Duration(s.cfg.DelayMillis) * time.Millisecond
 	}
-	if kind == "hang" {
+	if behaviour == "hang" {
 		<-r.Context().Done()
 		return
 	}
 	time.Sleep(delay)
-	switch kind {
+	switch behaviour {
 	case "break":
 		panic(http.ErrAbortHandler)
 	case "fail":
@@ -148,18 +149,18 @@
 	}
 	w.Header().Set(api.HeaderRequestID, r.Header.Get(api.HeaderRequestID))
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("X-Run", strconv.Itoa(n))
-	_ = json.NewEncoder(w).Encode(ServiceAnswer{s.cfg.ID, r.URL.RequestURI(), Digest(body), n})
+	w.Header().Set("X-Run", strconv.Itoa(executionCount))
+	_ = json.NewEncoder(w).Encode(ServiceResponse{s.cfg.ID, r.URL.RequestURI(), Digest(body), executionCount})
 }
 
-func (s *Service) count(d int) {
+func (s *Service) addActiveCalls(d int) {
 	s.mu.Lock()
-	s.active += d
+	s.activeCalls += d
 	s.mu.Unlock()
 }
 
 func (s *Service) load() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.active
+	return s.activeCalls
 }
--- a/ctl/harness/harness.go
+++ b/ctl/harness/harness.go
@@ -235,7 +235,7 @@
 
 // StartFake starts the stand-ins.
 func (c *Cluster) StartFake(cfg fake.Config) error {
-	cfg.Control = c.Control
+	cfg.ControlAddress = c.Control
 	cfg.Instances = c.Client.Addresses
 	for k := range cfg.Engines {
 		cfg.Engines[k].Token = c.token
@@ -350,8 +350,8 @@
 }
 
 // Runs returns a key's executions at the plain services.
-func (c *Cluster) Runs(key string) ([]fake.Run, error) {
-	var out []fake.Run
+func (c *Cluster) Runs(key string) ([]fake.Execution, error) {
+	var out []fake.Execution
 	return out, c.fakeGet("/runs?key="+key, &out)
 }
 
@@ -362,7 +362,7 @@
 }
 
 // Steer changes a stand-in engine.
-func (c *Cluster) Steer(s fake.Steer) error {
+func (c *Cluster) Steer(s fake.EngineAdjustment) error {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return err
--- a/ctl/internal/bench/main.go
+++ b/ctl/internal/bench/main.go
@@ -36,15 +36,15 @@
 var faults = map[string]fault{
 	"none": func(context.Context, *harness.Cluster) error { return nil },
 	"straggler": func(_ context.Context, c *harness.Cluster) error {
-		return c.Steer(fake.Steer{Engine: "engine-1", Slowdown: 4})
+		return c.Steer(fake.EngineAdjustment{Engine: "engine-1", Slowdown: 4})
 	},
 	"engine-killed": func(_ context.Context, c *harness.Cluster) error {
-		return c.Steer(fake.Steer{Engine: "engine-1", Down: true})
+		return c.Steer(fake.EngineAdjustment{Engine: "engine-1", Down: true})
 	},
 	"late-reports": func(_ context.Context, c *harness.Cluster) error {
 		lag := 2000
 		for n := range maxEngines {
-			_ = c.Steer(fake.Steer{Engine: engineID(n), LagMillis: &lag})
+			_ = c.Steer(fake.EngineAdjustment{Engine: engineID(n), ReportLagMillis: &lag})
 		}
 		return nil
 	},
@@ -216,7 +216,7 @@
 	for n := range e.Count {
 		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: engineID(n), Address: c.Address(n), Zone: zones[n%len(zones)], Pool: e.Pool, Slots: e.Slots,
 			StepBaseMicros: e.StepBaseMicros, StepPerCallMicros: e.StepPerCallMicros, PrefillTokensPerSecond: e.PrefillTokensPerSecond,
-			CachePrefixes: e.CachePrefixes, ReportLagMillis: e.ReportLagMillis, CacheGapPercent: e.CacheEventLossPercent})
+			CachePrefixes: e.CachePrefixes, ReportLagMillis: e.ReportLagMillis, CacheEventLossPercent: e.CacheEventLossPercent})
 	}
 	n := e.Count
 	for pool, count := range p.Fleet.Services {
@@ -233,7 +233,7 @@
 	st, err := c.FakeState()
 	n := int64(0)
 	for _, e := range st.Engines {
-		n += e.Generated
+		n += e.GeneratedTokens
 	}
 	return n, err
 }
--- a/ctl/internal/demo/main.go
+++ b/ctl/internal/demo/main.go
@@ -157,7 +157,7 @@
 func announceServers(ctx context.Context, d *demo) (string, error) {
 	engine := func(n int) fake.EngineConfig {
 		return fake.EngineConfig{ID: fmt.Sprintf("engine-%d", n), Address: d.c.Address(n), Zone: "zone-a", Pool: "lumen", Slots: 8, StepBaseMicros: 15000,
-			StepPerCallMicros: 500, PrefillTokensPerSecond: 20000, CachePrefixes: 256, ReportLagMillis: 1000, CacheGapPercent: 10}
+			StepPerCallMicros: 500, PrefillTokensPerSecond: 20000, CachePrefixes: 256, ReportLagMillis: 1000, CacheEventLossPercent: 10}
 	}
 	cfg := fake.Config{Engines: []fake.EngineConfig{engine(1), engine(2)},
 		Services: []fake.ServiceConfig{{ID: "fixture-1", Address: d.c.Address(3), Zone: "zone-b", Pool: "fixtures", Slots: 16, DelayMillis: 20}}}
@@ -289,7 +289,7 @@
 		return "", err
 	}
 	st, err := d.c.FakeState()
-	last := st.LastStart["engine-1"].Sub(at)
+	last := st.LastNewRequest["engine-1"].Sub(at)
 	if last > 2*time.Second {
 		return "", eris.Errorf("new work %v after the order", last)
 	}
--- a/ctl/prove/streams_test.go
+++ b/ctl/prove/streams_test.go
@@ -26,9 +26,9 @@
 	for k := range 6 {
 		time.Sleep(900 * time.Millisecond)
 		id := fmt.Sprintf("e%d", 1+k%4)
-		must(t, w.Steer(fake.Steer{Engine: id, Down: true}))
+		must(t, w.Steer(fake.EngineAdjustment{Engine: id, Down: true}))
 		time.Sleep(600 * time.Millisecond)
-		must(t, w.Steer(fake.Steer{Engine: id}))
+		must(t, w.Steer(fake.EngineAdjustment{Engine: id}))
 	}
 	list := f.end()
 	wrong, notWhole := 0, 0
@@ -86,7 +86,7 @@
 	must(t, err)
 	cancelled := int64(0)
 	for id, e := range after.Engines {
-		cancelled += e.Cancelled - before.Engines[id].Cancelled
+		cancelled += e.CancelledTokens - before.Engines[id].CancelledTokens
 	}
 	t.Logf("top tier %d of %d whole; lower classes completed meanwhile: %v; tokens cancelled at engines %d", len(top), len(top), completed, cancelled)
 	if completed["scene"] == 0 || completed["summary"] == 0 {
@@ -101,7 +101,7 @@
 func (w *world) lastStart(id string) time.Time {
 	st, err := w.FakeState()
 	must(w.t, err)
-	return st.LastStart[id]
+	return st.LastNewRequest[id]
 }
 
 // retireUnderLoad retires e1 while calls flow, with a disturbance, and returns
--- a/ctl/prove/world_test.go
+++ b/ctl/prove/world_test.go
@@ -104,7 +104,7 @@
 	var cfg fake.Config
 	for n := range engines {
 		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: fmt.Sprintf("e%d", n+1), Address: w.Address(n + 1), Zone: "a", Pool: "lumen", Slots: slots,
-			StepBaseMicros: 8000, StepPerCallMicros: 300, PrefillTokensPerSecond: 20000, CachePrefixes: 64, ReportLagMillis: 1000, CacheGapPercent: 20})
+			StepBaseMicros: 8000, StepPerCallMicros: 300, PrefillTokensPerSecond: 20000, CachePrefixes: 64, ReportLagMillis: 1000, CacheEventLossPercent: 20})
 	}
 	for n := range 2 {
 		cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("s%d", n+1), Address: w.Address(40 + n), Zone: "b", Pool: "fixtures", Slots: 64, DelayMillis: 20})
