--- a/ctl/caller/caller.go
+++ b/ctl/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is the side of the applications: it calls models and plain
-// services through an entry and checks that the answer is whole and belongs to
-// the request. The load tool, the demo and the proofs use it.
+// Package caller is a client for applications' calls: it calls models and plain services
+// through an entry and checks that the answer is complete and belongs to the request.
+// The backend servers must be those of package fake.
 package caller
 
 import (
@@ -25,9 +25,9 @@
 	"cardamomwick.example/ctl/fake"
 )
 
-// Configure gives the shared HTTP client room for many connections. Call it
-// once at start.
-func Configure() {
+// ConfigureTransport replaces http.DefaultTransport by one that keeps many idle
+// connections per host. Call it once, before the first call.
+func ConfigureTransport() {
 	http.DefaultTransport = &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
 		MaxIdleConnsPerHost: 4096,
@@ -35,51 +35,52 @@
 	}
 }
 
-// NewKey returns an idempotency key.
-func NewKey() string { return uuid.Must(uuid.NewV7()).String() }
+// NewIdempotencyKey returns a new idempotency key.
+func NewIdempotencyKey() string { return uuid.Must(uuid.NewV7()).String() }
 
 // Request is one call.
 type Request struct {
-	// Address is the entry's IP:port.
+	// Address is the IP:port of the entry.
 	Address string
-	// Customer is the bearer key.
+	// Customer is the customer's bearer key.
 	Customer string
 	Class    string
-	// Key is the idempotency key, empty for none.
-	Key string
-	// Deadline is sent when above 0.
+	// IdempotencyKey is empty for none.
+	IdempotencyKey string
+	// Deadline counts from sending. It is not sent if 0.
 	Deadline time.Duration
-	// Model, Prompt and Output make a chat call: Output is how many tokens the
-	// stand-in engine is to generate.
-	Model  string
-	Prompt []string
-	Output int
-	Stream bool
-	// MaxTokens is the cap that the caller sends and expects, 0 for none.
+	// Model, Prompt and OutputTokens describe a chat call. OutputTokens tells the fake
+	// engine how many tokens to generate.
+	Model        string
+	Prompt       []string
+	OutputTokens int
+	Stream       bool
+	// MaxTokens is the output limit that the caller sends and expects to be applied, 0
+	// for none.
 	MaxTokens int
-	// Service, Path and Body make a plain call.
+	// Service, Path and Body describe a call of a plain service, if Model is empty.
 	Service string
 	Path    string
 	Body    []byte
 }
 
-// Result is a call's final answer as the caller saw it.
+// Result is the final answer to a call as the caller received it.
 type Result struct {
 	Status    int
 	Outcome   state.Outcome
 	Error     *api.CallError
 	RequestID string
 	Repeat    bool
-	// Tokens came to the caller; Complete: the end was marked; Correct: the
-	// whole answer is the one to this request.
+	// Tokens is the number of received tokens. Complete reports whether the answer had
+	// its end marker, and Correct whether it is the full answer to this request.
 	Tokens   int
 	Complete bool
 	Correct  bool
-	// Service is a plain service's answer.
+	// Service is the answer of a plain service.
 	Service    fake.ServiceResponse
 	FirstToken time.Duration
 	Total      time.Duration
-	// Transport is set when no final answer came at all.
+	// Transport is the error that prevented a final answer, if any.
 	Transport error
 }
 
@@ -88,7 +89,7 @@
 	Content string `json:"content"`
 }
 
-type chatBody struct {
+type chatRequest struct {
 	Model     string            `json:"model"`
 	Messages  []json.RawMessage `json:"messages"`
 	Stream    bool              `json:"stream"`
@@ -112,12 +113,12 @@
 	return out
 }
 
-// Do makes the call and waits for its end.
+// Do makes a call and waits for its end.
 func Do(ctx context.Context, r *Request) *Result {
 	if r.Model != "" {
-		return chat(ctx, r)
+		return callModel(ctx, r)
 	}
-	return service(ctx, r)
+	return callService(ctx, r)
 }
 
 func newRequest(ctx context.Context, r *Request, path string, body []byte) (*http.Request, error) {
@@ -125,14 +126,14 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // never sent twice by the HTTP client itself
+	req.GetBody = nil // keeps the HTTP client from sending the request again by itself
 	req.Header.Set("Authorization", "Bearer "+r.Customer)
 	req.Header.Set("Content-Type", "application/json")
 	if r.Class != "" {
 		req.Header.Set(api.HeaderClass, r.Class)
 	}
-	if r.Key != "" {
-		req.Header.Set(api.HeaderKey, r.Key)
+	if r.IdempotencyKey != "" {
+		req.Header.Set(api.HeaderKey, r.IdempotencyKey)
 	}
 	if r.Deadline > 0 {
 		req.Header.Set(api.HeaderDeadline, strconv.FormatInt(r.Deadline.Milliseconds(), 10))
@@ -140,13 +141,13 @@
 	return req, nil
 }
 
-func chat(ctx context.Context, r *Request) *Result {
-	body, err := json.Marshal(chatBody{r.Model, r.messages(), r.Stream, r.MaxTokens, map[string]int{"output_tokens": r.Output}})
+func callModel(ctx context.Context, r *Request) *Result {
+	body, err := json.Marshal(chatRequest{r.Model, r.messages(), r.Stream, r.MaxTokens, map[string]int{"output_tokens": r.OutputTokens}})
 	if err != nil {
 		return &Result{Transport: err}
 	}
 	start := time.Now()
-	res, resp := begin(ctx, r, api.PathChat, body)
+	res, resp := send(ctx, r, api.PathChat, body)
 	if resp == nil {
 		res.Total = time.Since(start)
 		return res
@@ -154,12 +155,12 @@
 	defer resp.Body.Close()
 	var text string
 	if r.Stream && strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		text, err = readEvents(resp.Body, start, res)
+		text, err = readEventStream(resp.Body, start, res)
 		if o := resp.Trailer.Get(api.HeaderOutcome); o != "" {
 			res.Outcome = state.Outcome(o)
 		}
 	} else {
-		text, err = readWhole(resp.Body, res)
+		text, err = readJSON(resp.Body, res)
 		res.FirstToken = time.Since(start)
 	}
 	res.Total = time.Since(start)
@@ -168,16 +169,17 @@
 		res.Transport = err
 		return res
 	}
-	want := r.Output
+	wantTokens := r.OutputTokens
 	if r.MaxTokens > 0 {
-		want = min(want, r.MaxTokens)
+		wantTokens = min(wantTokens, r.MaxTokens)
 	}
-	res.Correct = res.Complete && text == fake.AnswerText(fake.PromptHash(r.messages()), want)
+	res.Correct = res.Complete && text == fake.AnswerText(fake.PromptHash(r.messages()), wantTokens)
 	return res
 }
 
-// begin sends the request; the response is nil when it failed.
-func begin(ctx context.Context, r *Request, path string, body []byte) (*Result, *http.Response) {
+// send sends the request. If there is no successful response, it returns nil for it and
+// a complete result.
+func send(ctx context.Context, r *Request, path string, body []byte) (*Result, *http.Response) {
 	res := &Result{}
 	req, err := newRequest(ctx, r, path, body)
 	if err != nil {
@@ -197,16 +199,16 @@
 		return res, resp
 	}
 	defer resp.Body.Close()
-	var e api.ErrorBody
-	if err := json.NewDecoder(resp.Body).Decode(&e); err != nil {
+	var errorBody api.ErrorBody
+	if err := json.NewDecoder(resp.Body).Decode(&errorBody); err != nil {
 		res.Transport = eris.Wrap(err, "read error body")
 		return res, nil
 	}
-	res.Error = e.Error
+	res.Error = errorBody.Error
 	return res, nil
 }
 
-type chunk struct {
+type chatChunk struct {
 	Choices []struct {
 		Delta   message `json:"delta"`
 		Message message `json:"message"`
@@ -214,26 +216,26 @@
 	} `json:"choices"`
 }
 
-func readEvents(body io.Reader, start time.Time, res *Result) (string, error) {
+func readEventStream(body io.Reader, start time.Time, res *Result) (string, error) {
 	var text strings.Builder
-	in := bufio.NewScanner(body)
-	in.Buffer(nil, 1<<20)
-	failed := false
-	for in.Scan() {
-		line := in.Text()
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(nil, 1<<20)
+	errorEvent := false
+	for scanner.Scan() {
+		line := scanner.Text()
 		if line == "event: error" {
-			failed = true
+			errorEvent = true
 			continue
 		}
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
-		if failed {
-			var e api.ErrorBody
-			if err := json.Unmarshal([]byte(data), &e); err == nil && e.Error != nil {
-				res.Error = e.Error
-				res.Outcome = e.Error.Outcome
+		if errorEvent {
+			var errorBody api.ErrorBody
+			if err := json.Unmarshal([]byte(data), &errorBody); err == nil && errorBody.Error != nil {
+				res.Error = errorBody.Error
+				res.Outcome = errorBody.Error.Outcome
 			}
 			continue
 		}
@@ -241,39 +243,39 @@
 			res.Complete = true
 			continue
 		}
-		var c chunk
-		if err := json.Unmarshal([]byte(data), &c); err != nil || len(c.Choices) == 0 {
-			return text.String(), eris.New("unreadable event")
+		var chunk chatChunk
+		if err := json.Unmarshal([]byte(data), &chunk); err != nil || len(chunk.Choices) == 0 {
+			return text.String(), eris.New("event is not a chat chunk with a choice")
 		}
 		if res.FirstToken == 0 {
 			res.FirstToken = time.Since(start)
 		}
-		text.WriteString(c.Choices[0].Delta.Content)
+		text.WriteString(chunk.Choices[0].Delta.Content)
 	}
-	if err := in.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return text.String(), err
 	}
 	if !res.Complete && res.Error == nil {
-		return text.String(), errors.New("the stream ended without an end marker or an error event")
+		return text.String(), errors.New("stream ended without an end marker or an error event")
 	}
 	return text.String(), nil
 }
 
-func readWhole(body io.Reader, res *Result) (string, error) {
-	var c chunk
-	if err := json.NewDecoder(body).Decode(&c); err != nil {
+func readJSON(body io.Reader, res *Result) (string, error) {
+	var chunk chatChunk
+	if err := json.NewDecoder(body).Decode(&chunk); err != nil {
 		return "", err
 	}
-	if len(c.Choices) == 0 {
-		return "", eris.New("answer holds no choice")
+	if len(chunk.Choices) == 0 {
+		return "", eris.New("answer has no choices")
 	}
-	res.Complete = c.Choices[0].Finish != ""
-	return c.Choices[0].Message.Content, nil
+	res.Complete = chunk.Choices[0].Finish != ""
+	return chunk.Choices[0].Message.Content, nil
 }
 
-func service(ctx context.Context, r *Request) *Result {
+func callService(ctx context.Context, r *Request) *Result {
 	start := time.Now()
-	res, resp := begin(ctx, r, api.PathServices+r.Service+r.Path, r.Body)
+	res, resp := send(ctx, r, api.PathServices+r.Service+r.Path, r.Body)
 	if resp != nil {
 		defer resp.Body.Close()
 		if err := json.NewDecoder(resp.Body).Decode(&res.Service); err != nil {
@@ -287,8 +289,8 @@
 	return res
 }
 
-// Addresses asks an instance which entries to use.
-func Addresses(ctx context.Context, address, zone string) (*api.AddressList, error) {
+// FetchAddresses asks an instance for the addresses that callers in a zone should use.
+func FetchAddresses(ctx context.Context, address, zone string) (*api.AddressList, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+api.PathAddresses+"?zone="+zone, nil)
 	if err != nil {
 		return nil, err
--- a/ctl/commands/load.go
+++ b/ctl/commands/load.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return cli.Exit(err.Error(), ExitInput)
 	}
-	caller.Configure()
+	caller.ConfigureTransport()
 	target := &load.Target{Instances: instances, Keys: keys, Zones: p.Fleet.Zones}
 	arrivals := p.Arrivals(cmd.Int64("seed"))
 	samples := load.Run(ctx, p, target, arrivals, ShowProgress)
--- a/ctl/internal/bench/main.go
+++ b/ctl/internal/bench/main.go
@@ -79,7 +79,7 @@
 
 func main() {
 	logx.Disable()
-	caller.Configure()
+	caller.ConfigureTransport()
 	var o options
 	flag.StringVar(&o.bin, "bin", "bin", "folder with the binaries")
 	flag.StringVar(&o.profile, "profile", "samples/nurlight-load.toml", "load profile")
--- a/ctl/internal/capacity/main.go
+++ b/ctl/internal/capacity/main.go
@@ -58,7 +58,7 @@
 
 func main() {
 	logx.Disable()
-	caller.Configure()
+	caller.ConfigureTransport()
 	bin := flag.String("bin", "bin", "folder with the binaries")
 	span := flag.Duration("span", 8*time.Second, "how long each step is measured")
 	series := flag.String("series", "instances,servers,customers,changes", "what to grow")
--- a/ctl/internal/demo/main.go
+++ b/ctl/internal/demo/main.go
@@ -25,7 +25,7 @@
 
 func main() {
 	logx.Disable()
-	caller.Configure()
+	caller.ConfigureTransport()
 	if len(os.Args) != 2 {
 		fmt.Fprintln(os.Stderr, "usage: demo BIN-FOLDER")
 		os.Exit(2)
@@ -171,7 +171,7 @@
 	var list *api.AddressList
 	err := harness.WaitFor(ctx, "three addresses in the list", func() bool {
 		var err error
-		list, err = caller.Addresses(ctx, d.c.Instances[1].Caller, "zone-a")
+		list, err = caller.FetchAddresses(ctx, d.c.Instances[1].Caller, "zone-a")
 		return err == nil && len(list.Addresses) == 3
 	})
 	if err != nil {
@@ -194,7 +194,7 @@
 }
 
 func (d *demo) chatRequest(entry, output int, prompt string) *caller.Request {
-	return &caller.Request{Address: d.c.Instances[entry].Caller, Customer: d.c.CustomerKeys["hotel"], Model: "lumen", Prompt: []string{prompt}, Output: output, Stream: true}
+	return &caller.Request{Address: d.c.Instances[entry].Caller, Customer: d.c.CustomerKeys["hotel"], Model: "lumen", Prompt: []string{prompt}, OutputTokens: output, Stream: true}
 }
 
 func whole(res *caller.Result) error {
@@ -215,11 +215,11 @@
 }
 
 func (d *demo) dimming(entry int, key string, body string) *caller.Request {
-	return &caller.Request{Address: d.c.Instances[entry].Caller, Customer: d.c.CustomerKeys["hotel"], Key: key, Service: "fixtures", Path: "/dim", Body: []byte(body)}
+	return &caller.Request{Address: d.c.Instances[entry].Caller, Customer: d.c.CustomerKeys["hotel"], IdempotencyKey: key, Service: "fixtures", Path: "/dim", Body: []byte(body)}
 }
 
 func once(ctx context.Context, d *demo) (string, error) {
-	key := caller.NewKey()
+	key := caller.NewIdempotencyKey()
 	first := caller.Do(ctx, d.dimming(0, key, `{"lamp":7,"level":40}`))
 	second := caller.Do(ctx, d.dimming(1, key, `{"lamp":7,"level":40}`))
 	for _, r := range []*caller.Result{first, second} {
@@ -333,7 +333,7 @@
 	if err := whole(caller.Do(ctx, d.chatRequest(live, 5, "still there?"))); err != nil {
 		return "", err
 	}
-	err = whole(caller.Do(ctx, d.dimming(live, caller.NewKey(), `{"lamp":1}`)))
+	err = whole(caller.Do(ctx, d.dimming(live, caller.NewIdempotencyKey(), `{"lamp":1}`)))
 	return fmt.Sprintf("leader %s killed; next publish accepted after %d ms", leader.Name, published.Milliseconds()), err
 }
 
--- a/ctl/internal/overhead/main.go
+++ b/ctl/internal/overhead/main.go
@@ -33,7 +33,7 @@
 
 func main() {
 	logx.Disable()
-	caller.Configure()
+	caller.ConfigureTransport()
 	if len(os.Args) != 2 {
 		fmt.Fprintln(os.Stderr, "usage: overhead BIN-FOLDER")
 		os.Exit(2)
@@ -88,7 +88,7 @@
 		return func(ctx context.Context, worker int) error {
 			r := &caller.Request{Address: c.Instances[worker%3].Caller, Customer: c.CustomerKeys["hotel"], Class: class, Service: "fixtures", Path: "/dim", Body: body}
 			if keyed {
-				r.Key = caller.NewKey()
+				r.IdempotencyKey = caller.NewIdempotencyKey()
 			}
 			res := caller.Do(ctx, r)
 			if res.Transport != nil || res.Error != nil || !res.Correct {
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -85,7 +85,7 @@
 		instance := d.target.Instances[d.nextInstance%len(d.target.Instances)]
 		d.mu.Unlock()
 		lookupCtx, cancel := context.WithTimeout(ctx, lookupTimeout)
-		list, err := caller.Addresses(lookupCtx, instance, zone)
+		list, err := caller.FetchAddresses(lookupCtx, instance, zone)
 		cancel()
 		if err != nil || len(list.Addresses) == 0 {
 			continue
@@ -190,7 +190,7 @@
 func (p *Profile) newRequest(stream Stream, a Arrival, key string) *caller.Request {
 	r := &caller.Request{Customer: key, Class: stream.Class, Stream: true}
 	if stream.Keyed {
-		r.Key = caller.NewKey()
+		r.IdempotencyKey = caller.NewIdempotencyKey()
 	}
 	if stream.Service != "" {
 		r.Service, r.Path = stream.Service, "/do"
@@ -198,7 +198,7 @@
 		return r
 	}
 	r.Model = stream.Model
-	r.Output = a.OutputTokens
+	r.OutputTokens = a.OutputTokens
 	r.MaxTokens = p.Bundle.Classes[stream.Class].MaxOutputTokens
 	shared := strings.Repeat(fmt.Sprintf("%s-%d ", stream.Class, a.PrefixIndex), max(1, stream.PromptBytes/2/(len(stream.Class)+4)))
 	unshared := strings.Repeat(fmt.Sprintf("call-%d ", a.Index), max(1, stream.PromptBytes/2/12))
--- a/ctl/prove/once_test.go
+++ b/ctl/prove/once_test.go
@@ -124,7 +124,7 @@
 func (h *onceHistory) volley(entry int, others []int, calls int, harm func()) {
 	var wg sync.WaitGroup
 	for k := range calls {
-		key := caller.NewKey()
+		key := caller.NewIdempotencyKey()
 		body := fmt.Sprintf(`{"lamp":%d,"key":%q}`, k, key)
 		wg.Go(func() {
 			time.Sleep(time.Duration(rand.Intn(40)) * time.Millisecond)
@@ -195,7 +195,7 @@
 	var wg sync.WaitGroup
 	for k := range 24 {
 		kind := []string{"hang", "break", "refuse", "refuse-first"}[k%4]
-		key := caller.NewKey()
+		key := caller.NewIdempotencyKey()
 		body := fmt.Sprintf(`{"fake":%q,"lamp":%d}`, kind, k)
 		wg.Go(func() {
 			r := h.call(k, k%4, key, body)
@@ -229,7 +229,7 @@
 	var mu sync.Mutex
 	accepted := 0
 	for k := range 20 {
-		key := caller.NewKey()
+		key := caller.NewIdempotencyKey()
 		keys = append(keys, key)
 		wg.Go(func() {
 			r := w.call(3, "sync", key, fmt.Sprintf(`{"panel":%d,"delay_ms":1500}`, k))
--- a/ctl/prove/streams_test.go
+++ b/ctl/prove/streams_test.go
@@ -165,7 +165,7 @@
 	pick := func() string {
 		for {
 			i := w.Instances[int(next.Add(1))%5]
-			if list, err := caller.Addresses(w.ctx, i.Caller, i.Zone); err == nil && len(list.Addresses) > 0 {
+			if list, err := caller.FetchAddresses(w.ctx, i.Caller, i.Zone); err == nil && len(list.Addresses) > 0 {
 				return list.Addresses[0]
 			}
 		}
@@ -176,7 +176,7 @@
 			output = longScene
 		}
 		return caller.Do(w.ctx, &caller.Request{Address: pick(), Customer: w.CustomerKeys["villa"], Class: "scene", Model: "lumen",
-			Prompt: []string{fmt.Sprintf("%d %d", worker, n)}, Output: output, Stream: true})
+			Prompt: []string{fmt.Sprintf("%d %d", worker, n)}, OutputTokens: output, Stream: true})
 	})
 	time.Sleep(time.Second)
 	for _, k := range []int{4, w.index(w.leader()), 3} {
--- a/ctl/prove/world_test.go
+++ b/ctl/prove/world_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	logx.Disable()
-	caller.Configure()
+	caller.ConfigureTransport()
 	os.Exit(m.Run())
 }
 
@@ -115,7 +115,7 @@
 
 func (w *world) chat(entry int, class, prompt string, output int) *caller.Result {
 	return caller.Do(w.ctx, &caller.Request{Address: w.Instances[entry].Caller, Customer: w.CustomerKeys["hotel"], Class: class, Model: "lumen",
-		Prompt: []string{prompt}, Output: output, Stream: true})
+		Prompt: []string{prompt}, OutputTokens: output, Stream: true})
 }
 
 func (w *world) dim(entry int, key, body string) *caller.Result {
@@ -123,7 +123,7 @@
 }
 
 func (w *world) call(entry int, class, key, body string) *caller.Result {
-	return caller.Do(w.ctx, &caller.Request{Address: w.Instances[entry].Caller, Customer: w.CustomerKeys["hotel"], Class: class, Key: key,
+	return caller.Do(w.ctx, &caller.Request{Address: w.Instances[entry].Caller, Customer: w.CustomerKeys["hotel"], Class: class, IdempotencyKey: key,
 		Service: "fixtures", Path: "/dim", Body: []byte(body)})
 }
 
