--- a/ctl/harness/harness.go
+++ b/ctl/harness/harness.go
@@ -1,6 +1,6 @@
-// Package harness runs real processes of cardamomwick and of the stand-ins on
-// loopback addresses, for the demo, the proofs and the experiments. It is no
-// part of the product: no cardamomwick process starts another.
+// Package harness runs a cluster of cardamomwick processes and fake backend servers on
+// loopback addresses, for demos, tests and experiments. It is not part of the product: no
+// cardamomwick process starts another.
 package harness
 
 import (
@@ -35,96 +35,99 @@
 const (
 	callerPort = 7001
 	peerPort   = 7101
-	// Operator is the name of the harness's operator.
+	// Operator is the name of the operator who signs the harness's orders.
 	Operator = "ana"
 )
 
-// Options describe a cluster.
+// Options describes a cluster.
 type Options struct {
-	// Bin is the folder with cardamomwickd and cardamomctl.
-	Bin string
-	// Dir gets settings, data folders and logs.
-	Dir string
-	// Instances is the number of daemons, Replicas of them with a data folder.
-	Instances, Replicas int
-	// Zones are spread over the instances in turn.
+	// BinDir is the folder with cardamomwickd and cardamomctl.
+	BinDir string
+	// WorkDir receives settings, data folders and logs.
+	WorkDir string
+	// InstanceCount is the number of instances. The first ReplicaCount of them have a
+	// data folder and form the replica group.
+	InstanceCount, ReplicaCount int
+	// Zones are assigned to the instances in round-robin order.
 	Zones []string
 	// Customers are the customers' names.
 	Customers []string
 	LogLevel  string
-	// Baseline replaces the dispatcher, as settings.Experiment describes.
+	// Baseline is the setting experiment.baseline: the policy that replaces the
+	// dispatcher, empty for none.
 	Baseline string
-	// AddressTTL is how long callers may keep addresses.
+	// AddressTTL is how long callers may cache addresses; 0 means one second.
 	AddressTTL time.Duration
 }
 
 // Instance is one daemon process.
 type Instance struct {
-	Name, Zone   string
-	Caller, Peer string
-	Folder       string
-	settings     string
-	process      *Process
+	Name, Zone                 string
+	CallerAddress, PeerAddress string
+	DataFolder                 string
+	settingsFile               string
+	process                    *Process
 }
 
-// Cluster is a set of processes.
+// Cluster is a set of processes that belong together.
 type Cluster struct {
 	Options
-	Instances []*Instance
-	Fake      *Process
-	// Control is the stand-ins' control address.
-	Control string
-	Client  *client.Client
-	// CustomerKeys maps customers to bearer keys, Tokens pools to tokens.
+	Instances   []*Instance
+	FakeServers *Process
+	// ControlAddress is the address of the fake servers' control API.
+	ControlAddress string
+	Client         *client.Client
+	// CustomerKeys maps customers to bearer keys.
 	CustomerKeys map[string]string
-	token        string
+	sharedToken  string
 	network      string
-	frameKey     string
+	frameSecret  string
 }
 
-// New prepares a cluster; nothing runs yet.
+// New creates keys, secrets and settings for a cluster. It starts no process.
 func New(o Options) (*Cluster, error) {
 	key, err := client.NewKey(Operator)
 	if err != nil {
 		return nil, err
 	}
-	frameKey, err := commands.Secret()
+	frameSecret, err := commands.Secret()
 	if err != nil {
 		return nil, err
 	}
-	token, err := commands.Secret()
+	sharedToken, err := commands.Secret()
 	if err != nil {
 		return nil, err
 	}
 	if o.AddressTTL == 0 {
 		o.AddressTTL = time.Second
 	}
-	c := &Cluster{Options: o, CustomerKeys: map[string]string{}, token: token, frameKey: frameKey, network: freeNetwork()}
-	c.Control = c.network + ".250:7300"
+	c := &Cluster{Options: o, CustomerKeys: map[string]string{}, sharedToken: sharedToken, frameSecret: frameSecret, network: findFreeNetwork()}
+	c.ControlAddress = c.network + ".250:7300"
 	for _, name := range o.Customers {
 		if c.CustomerKeys[name], err = commands.Secret(); err != nil {
 			return nil, err
 		}
 	}
-	for i := range o.Instances {
+	for i := range o.InstanceCount {
 		c.addInstance(i)
 	}
 	c.Client = &client.Client{Key: key}
 	for _, i := range c.Instances {
-		c.Client.Addresses = append(c.Client.Addresses, i.Caller)
+		c.Client.Addresses = append(c.Client.Addresses, i.CallerAddress)
 	}
 	for _, i := range c.Instances {
 		if err := c.writeSettings(i); err != nil {
 			return nil, err
 		}
 	}
-	return c, key.Save(filepath.Join(o.Dir, "operator.key"))
+	return c, key.Save(filepath.Join(o.WorkDir, "operator.key"))
 }
 
-// freeNetwork finds loopback addresses that no other run uses.
-func freeNetwork() string {
-	for k := 0; ; k++ {
-		n := (os.Getpid() + k) % (200 * 250)
+// findFreeNetwork returns the prefix of a loopback network that no other harness uses. It
+// recognises a network in use by the address of its control API.
+func findFreeNetwork() string {
+	for attempt := 0; ; attempt++ {
+		n := (os.Getpid() + attempt) % (200 * 250)
 		network := fmt.Sprintf("127.%d.%d", 20+n/250, 1+n%250)
 		l, err := net.Listen("tcp", network+".250:7300")
 		if err == nil {
@@ -136,71 +139,72 @@
 
 func (c *Cluster) addInstance(i int) {
 	name := fmt.Sprintf("i%d", i+1)
-	in := &Instance{Name: name, Zone: c.Zones[i%len(c.Zones)],
-		Caller: fmt.Sprintf("%s.%d:%d", c.network, i+1, callerPort), Peer: fmt.Sprintf("%s.%d:%d", c.network, i+1, peerPort),
-		settings: filepath.Join(c.Dir, name+".toml")}
-	if i < c.Replicas {
-		in.Folder = filepath.Join(c.Dir, name+".data")
+	instance := &Instance{Name: name, Zone: c.Zones[i%len(c.Zones)],
+		CallerAddress: fmt.Sprintf("%s.%d:%d", c.network, i+1, callerPort), PeerAddress: fmt.Sprintf("%s.%d:%d", c.network, i+1, peerPort),
+		settingsFile: filepath.Join(c.WorkDir, name+".toml")}
+	if i < c.ReplicaCount {
+		instance.DataFolder = filepath.Join(c.WorkDir, name+".data")
 	}
-	c.Instances = append(c.Instances, in)
+	c.Instances = append(c.Instances, instance)
 }
 
-// Address returns a loopback address for a backend server.
-func (c *Cluster) Address(n int) string { return fmt.Sprintf("%s.%d:8001", c.network, 100+n) }
+// ServerAddress returns the loopback address for the n-th backend server.
+func (c *Cluster) ServerAddress(n int) string { return fmt.Sprintf("%s.%d:8001", c.network, 100+n) }
 
-func (c *Cluster) cutFile(i *Instance) string { return filepath.Join(c.Dir, i.Name+".cut") }
+func (c *Cluster) dropRulesFile(i *Instance) string { return filepath.Join(c.WorkDir, i.Name+".cut") }
 
 func (c *Cluster) writeSettings(i *Instance) error {
 	var peers []string
-	for _, x := range c.Instances {
-		peers = append(peers, x.Peer)
+	for _, other := range c.Instances {
+		peers = append(peers, other.PeerAddress)
 	}
 	level := c.LogLevel
 	if level == "" {
 		level = "info"
 	}
 	text, err := toml.Marshal(map[string]any{
-		"instance": map[string]any{"name": i.Name, "availability_zone": i.Zone, "data_folder": i.Folder},
-		"callers":  map[string]any{"address": i.Caller, "address_ttl": c.AddressTTL.String()},
-		"peers": map[string]any{"address": i.Peer, "seeds": peers[:min(3, len(peers))],
-			"keys": []map[string]any{{"id": "k1", "secret": c.frameKey}}},
-		"replicas":   map[string]any{"addresses": peers[:c.Replicas]},
+		"instance": map[string]any{"name": i.Name, "availability_zone": i.Zone, "data_folder": i.DataFolder},
+		"callers":  map[string]any{"address": i.CallerAddress, "address_ttl": c.AddressTTL.String()},
+		"peers": map[string]any{"address": i.PeerAddress, "seeds": peers[:min(3, len(peers))],
+			"keys": []map[string]any{{"id": "k1", "secret": c.frameSecret}}},
+		"replicas":   map[string]any{"addresses": peers[:c.ReplicaCount]},
 		"trust":      map[string]any{"operators": map[string]any{Operator: c.Client.Key.Public}},
 		"log":        map[string]any{"level": level},
-		"metrics":    map[string]any{"token": c.token},
-		"faults":     map[string]any{"cut_file": c.cutFile(i)},
+		"metrics":    map[string]any{"token": c.sharedToken},
+		"faults":     map[string]any{"cut_file": c.dropRulesFile(i)},
 		"experiment": map[string]any{"baseline": c.Baseline},
 	})
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(i.settings, text, 0o600)
+	return os.WriteFile(i.settingsFile, text, 0o600)
 }
 
-// Bundle completes a bundle with the cluster's customers, keys and tokens.
-func (c *Cluster) Bundle(b *bundle.Bundle) *bundle.Bundle {
-	for name, p := range b.Pools {
-		p.AnnounceTokens = []string{commands.Digest(c.token)}
-		b.Pools[name] = p
+// CompleteBundle adds the cluster's operator, customers, keys and announce tokens to a
+// bundle and returns it.
+func (c *Cluster) CompleteBundle(b *bundle.Bundle) *bundle.Bundle {
+	for name, pool := range b.Pools {
+		pool.AnnounceTokens = []string{commands.Digest(c.sharedToken)}
+		b.Pools[name] = pool
 	}
 	if b.Customers == nil {
 		b.Customers = map[string]bundle.Customer{}
 	}
 	for name, key := range c.CustomerKeys {
-		x := b.Customers[name]
-		x.Keys = []string{commands.Digest(key)}
-		if x.Weight == 0 {
-			x.Weight = 1
+		customer := b.Customers[name]
+		customer.Keys = []string{commands.Digest(key)}
+		if customer.Weight == 0 {
+			customer.Weight = 1
 		}
-		b.Customers[name] = x
+		b.Customers[name] = customer
 	}
 	b.Operators = map[string]bundle.Operator{Operator: {PublicKey: c.Client.Key.Public}}
 	return b
 }
 
-// Start starts one instance.
-func (c *Cluster) Start(i *Instance) error {
-	p, err := start(filepath.Join(c.Dir, i.Name+".log"), filepath.Join(c.Bin, "cardamomwickd"), "--settings", i.settings)
+// StartInstance starts one instance.
+func (c *Cluster) StartInstance(i *Instance) error {
+	p, err := startProcess(filepath.Join(c.WorkDir, i.Name+".log"), filepath.Join(c.BinDir, "cardamomwickd"), "--settings", i.settingsFile)
 	i.process = p
 	return err
 }
@@ -208,22 +212,23 @@
 // StartAll starts all instances.
 func (c *Cluster) StartAll() error {
 	for _, i := range c.Instances {
-		if err := c.Start(i); err != nil {
+		if err := c.StartInstance(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Up starts all instances and puts a first bundle in force.
-func (c *Cluster) Up(ctx context.Context, b *bundle.Bundle) error {
+// StartWithBundle starts all instances, publishes a bundle and waits until it is in force
+// everywhere.
+func (c *Cluster) StartWithBundle(ctx context.Context, b *bundle.Bundle) error {
 	if err := c.StartAll(); err != nil {
 		return err
 	}
-	if err := c.Ready(ctx, 0); err != nil {
+	if err := c.WaitInstancesReady(ctx, 0); err != nil {
 		return err
 	}
-	res, err := c.Client.Publish(ctx, c.Bundle(b))
+	res, err := c.Client.Publish(ctx, c.CompleteBundle(b))
 	if err != nil {
 		return err
 	}
@@ -233,55 +238,56 @@
 	return c.Client.WaitInForce(ctx, res.Order.Generation, nil)
 }
 
-// StartFake starts the stand-ins.
-func (c *Cluster) StartFake(cfg fake.Config) error {
-	cfg.ControlAddress = c.Control
+// StartFakeServers starts one process that runs all fake servers.
+func (c *Cluster) StartFakeServers(cfg fake.Config) error {
+	cfg.ControlAddress = c.ControlAddress
 	cfg.Instances = c.Client.Addresses
 	for k := range cfg.Engines {
-		cfg.Engines[k].Token = c.token
+		cfg.Engines[k].Token = c.sharedToken
 	}
 	for k := range cfg.Services {
-		cfg.Services[k].Token = c.token
+		cfg.Services[k].Token = c.sharedToken
 	}
 	text, err := toml.Marshal(cfg)
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(c.Dir, "fake.toml")
+	file := filepath.Join(c.WorkDir, "fake.toml")
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return err
 	}
-	c.Fake, err = start(filepath.Join(c.Dir, "fake.log"), filepath.Join(c.Bin, "cardamomctl"), "fake", "--file", file)
+	c.FakeServers, err = startProcess(filepath.Join(c.WorkDir, "fake.log"), filepath.Join(c.BinDir, "cardamomctl"), "fake", "--file", file)
 	return err
 }
 
-// Process returns the instance's process.
+// Process returns the instance's latest process, nil before the first start.
 func (i *Instance) Process() *Process { return i.process }
 
-// Cut drops frames at an instance, as settings.Faults describes; no rules heal.
-func (c *Cluster) Cut(i *Instance, rules ...string) error {
+// SetDropRules sets which frames an instance drops. The rules are the lines of the file
+// named by the setting faults.cut_file; without rules, nothing is dropped.
+func (c *Cluster) SetDropRules(i *Instance, rules ...string) error {
 	if len(rules) == 0 {
-		err := os.Remove(c.cutFile(i))
+		err := os.Remove(c.dropRulesFile(i))
 		if errors.Is(err, os.ErrNotExist) {
 			return nil
 		}
 		return err
 	}
-	return os.WriteFile(c.cutFile(i), []byte(strings.Join(rules, "\n")), 0o600)
+	return os.WriteFile(c.dropRulesFile(i), []byte(strings.Join(rules, "\n")), 0o600)
 }
 
-// Isolate cuts an instance off from all others, both ways.
-func (c *Cluster) Isolate(i *Instance) error { return c.Cut(i, "in *", "out *") }
+// Isolate drops all frames between an instance and the others, in both directions.
+func (c *Cluster) Isolate(i *Instance) error { return c.SetDropRules(i, "in *", "out *") }
 
-// Close ends all processes.
+// Close kills all processes.
 func (c *Cluster) Close() {
 	for _, i := range c.Instances {
 		i.process.Kill()
 	}
-	c.Fake.Kill()
+	c.FakeServers.Kill()
 }
 
-// Leader returns the instance that leads the replica group.
+// Leader returns the leader of the replica group.
 func (c *Cluster) Leader(ctx context.Context) (*Instance, error) {
 	st, err := c.Client.Status(ctx)
 	if err != nil {
@@ -289,7 +295,7 @@
 	}
 	for _, m := range st.Members {
 		for _, i := range c.Instances {
-			if m.Leader && m.Address == i.Peer {
+			if m.Leader && m.Address == i.PeerAddress {
 				return i, nil
 			}
 		}
@@ -297,8 +303,9 @@
 	return nil, eris.New("no leader")
 }
 
-// Ready waits until every instance holds a fresh lease.
-func (c *Cluster) Ready(ctx context.Context, generation uint64) error {
+// WaitInstancesReady waits until every instance has a valid configuration lease and has
+// reached a generation.
+func (c *Cluster) WaitInstancesReady(ctx context.Context, generation uint64) error {
 	return WaitFor(ctx, "all instances ready", func() bool {
 		list, err := c.Client.Instances(ctx)
 		if err != nil || len(list) < len(c.Instances) {
@@ -313,8 +320,8 @@
 	})
 }
 
-// ServersReady waits until n backend servers are usable.
-func (c *Cluster) ServersReady(ctx context.Context, n int) error {
+// WaitServersReady waits until at least n backend servers are usable.
+func (c *Cluster) WaitServersReady(ctx context.Context, n int) error {
 	return WaitFor(ctx, fmt.Sprintf("%d backend servers usable", n), func() bool {
 		list, err := c.Client.Servers(ctx)
 		usable := 0
@@ -327,21 +334,21 @@
 	})
 }
 
-// WaitFor polls a condition until the context ends.
-func WaitFor(ctx context.Context, what string, ok func() bool) error {
+// WaitFor polls a condition until it holds or the context ends.
+func WaitFor(ctx context.Context, condition string, ok func() bool) error {
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			return eris.Errorf("not reached: %s", what)
+			return eris.Errorf("timed out waiting for: %s", condition)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// fakeGet reads the stand-ins' control page.
-func (c *Cluster) fakeGet(path string, out any) error {
-	resp, err := http.Get("http://" + c.Control + path)
+// getControl decodes the answer to a GET request to the fake servers' control API.
+func (c *Cluster) getControl(path string, out any) error {
+	resp, err := http.Get("http://" + c.ControlAddress + path)
 	if err != nil {
 		return err
 	}
@@ -349,70 +356,70 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// Runs returns a key's executions at the plain services.
-func (c *Cluster) Runs(key string) ([]fake.Execution, error) {
+// Executions returns the executions of a key at the plain services.
+func (c *Cluster) Executions(key string) ([]fake.Execution, error) {
 	var out []fake.Execution
-	return out, c.fakeGet("/runs?key="+key, &out)
+	return out, c.getControl("/runs?key="+key, &out)
 }
 
-// FakeState returns the stand-ins' counters.
-func (c *Cluster) FakeState() (fake.State, error) {
+// FakeServerState returns the counters of the fake servers.
+func (c *Cluster) FakeServerState() (fake.State, error) {
 	var s fake.State
-	return s, c.fakeGet("/state", &s)
+	return s, c.getControl("/state", &s)
 }
 
-// Steer changes a stand-in engine.
-func (c *Cluster) Steer(s fake.EngineAdjustment) error {
-	body, err := json.Marshal(s)
+// AdjustEngine changes how a fake engine behaves.
+func (c *Cluster) AdjustEngine(adjustment fake.EngineAdjustment) error {
+	body, err := json.Marshal(adjustment)
 	if err != nil {
 		return err
 	}
-	resp, err := http.Post("http://"+c.Control+"/steer", "application/json", strings.NewReader(string(body)))
+	resp, err := http.Post("http://"+c.ControlAddress+"/steer", "application/json", strings.NewReader(string(body)))
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("steer: status %d", resp.StatusCode)
+		return eris.Errorf("adjust engine %s: status %d", adjustment.Engine, resp.StatusCode)
 	}
 	return nil
 }
 
-// Logged reports whether an instance's log holds a text.
-func (c *Cluster) Logged(i *Instance, text string) bool {
-	data, err := os.ReadFile(filepath.Join(c.Dir, i.Name+".log"))
+// LogContains reports whether an instance's log contains a text.
+func (c *Cluster) LogContains(i *Instance, text string) bool {
+	data, err := os.ReadFile(filepath.Join(c.WorkDir, i.Name+".log"))
 	return err == nil && strings.Contains(string(data), text)
 }
 
-// Metrics reads an instance's metrics page: names, labels included, to values.
+// Metrics reads an instance's metrics. The keys of the result include the labels.
 func (c *Cluster) Metrics(i *Instance) (map[string]float64, error) {
-	req, err := http.NewRequest(http.MethodGet, "http://"+i.Caller+api.PathMetrics, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+i.CallerAddress+api.PathMetrics, nil)
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+c.token)
+	req.Header.Set("Authorization", "Bearer "+c.sharedToken)
 	resp, err := httpc.DoRequest(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
 	out := map[string]float64{}
-	for in := bufio.NewScanner(resp.Body); in.Scan(); {
-		if name, value, ok := strings.Cut(in.Text(), " "); ok {
+	for scanner := bufio.NewScanner(resp.Body); scanner.Scan(); {
+		if name, value, ok := strings.Cut(scanner.Text(), " "); ok {
 			out[name], _ = strconv.ParseFloat(value, 64)
 		}
 	}
 	return out, nil
 }
 
-// Process is a child process of the harness.
+// Process is a child process. It is killed when the harness ends.
 type Process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 	err  error
 }
 
-func start(logFile, name string, args ...string) (*Process, error) {
+func startProcess(logFile, name string, args ...string) (*Process, error) {
 	f, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -439,7 +446,7 @@
 	}
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process is running.
 func (p *Process) Running() bool {
 	if p == nil {
 		return false
@@ -452,10 +459,11 @@
 	}
 }
 
-// PID returns the process ID.
+// PID returns the process ID of a started process.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Kill ends the process at once and waits for it.
+// Kill sends SIGKILL and waits for the process to end. A stopped process is continued
+// first.
 func (p *Process) Kill() {
 	if p == nil {
 		return
@@ -465,13 +473,13 @@
 	<-p.done
 }
 
-// Stop asks the process to end and waits for its exit error.
-func (p *Process) Stop(limit time.Duration) error {
+// Stop sends SIGTERM, waits for the process to end and returns its exit error.
+func (p *Process) Stop(timeout time.Duration) error {
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 		return p.err
-	case <-time.After(limit):
-		return eris.Errorf("process %d did not end within %v", p.PID(), limit)
+	case <-time.After(timeout):
+		return eris.Errorf("process %d did not end within %v", p.PID(), timeout)
 	}
 }
--- a/ctl/internal/bench/main.go
+++ b/ctl/internal/bench/main.go
@@ -36,15 +36,15 @@
 var faults = map[string]fault{
 	"none": func(context.Context, *harness.Cluster) error { return nil },
 	"straggler": func(_ context.Context, c *harness.Cluster) error {
-		return c.Steer(fake.EngineAdjustment{Engine: "engine-1", Slowdown: 4})
+		return c.AdjustEngine(fake.EngineAdjustment{Engine: "engine-1", Slowdown: 4})
 	},
 	"engine-killed": func(_ context.Context, c *harness.Cluster) error {
-		return c.Steer(fake.EngineAdjustment{Engine: "engine-1", Down: true})
+		return c.AdjustEngine(fake.EngineAdjustment{Engine: "engine-1", Down: true})
 	},
 	"late-reports": func(_ context.Context, c *harness.Cluster) error {
 		lag := 2000
 		for n := range maxEngines {
-			_ = c.Steer(fake.EngineAdjustment{Engine: engineID(n), ReportLagMillis: &lag})
+			_ = c.AdjustEngine(fake.EngineAdjustment{Engine: engineID(n), ReportLagMillis: &lag})
 		}
 		return nil
 	},
@@ -157,7 +157,7 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithTimeout(context.Background(), setUpLimit+p.Duration()+drainLimit)
 	defer cancel()
-	opt := harness.Options{Bin: o.bin, Dir: dir, Instances: p.Fleet.Instances, Replicas: 3, Zones: p.Fleet.Zones, Customers: p.CustomerNames(), LogLevel: "warn"}
+	opt := harness.Options{BinDir: o.bin, WorkDir: dir, InstanceCount: p.Fleet.Instances, ReplicaCount: 3, Zones: p.Fleet.Zones, Customers: p.CustomerNames(), LogLevel: "warn"}
 	if policy != "dispatcher" {
 		opt.Baseline = policy
 	}
@@ -196,15 +196,15 @@
 	ctx, cancel := context.WithTimeout(ctx, setUpLimit)
 	defer cancel()
 	b := p.Bundle
-	if err := c.Up(ctx, &b); err != nil {
+	if err := c.StartWithBundle(ctx, &b); err != nil {
 		return err
 	}
 	cfg, n := standIns(c, p)
-	if err := c.StartFake(cfg); err != nil {
+	if err := c.StartFakeServers(cfg); err != nil {
 		return err
 	}
 	if views {
-		return c.ServersReady(ctx, n)
+		return c.WaitServersReady(ctx, n)
 	}
 	time.Sleep(2 * time.Second) // baselines have no view of servers
 	return nil
@@ -214,14 +214,14 @@
 	var cfg fake.Config
 	e, zones := p.Fleet.Engines, p.Fleet.Zones
 	for n := range e.Count {
-		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: engineID(n), Address: c.Address(n), Zone: zones[n%len(zones)], Pool: e.Pool, Slots: e.Slots,
+		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: engineID(n), Address: c.ServerAddress(n), Zone: zones[n%len(zones)], Pool: e.Pool, Slots: e.Slots,
 			StepBaseMicros: e.StepBaseMicros, StepPerCallMicros: e.StepPerCallMicros, PrefillTokensPerSecond: e.PrefillTokensPerSecond,
 			CachePrefixes: e.CachePrefixes, ReportLagMillis: e.ReportLagMillis, CacheEventLossPercent: e.CacheEventLossPercent})
 	}
 	n := e.Count
 	for pool, count := range p.Fleet.Services {
 		for k := range count {
-			cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("%s-%d", pool, k+1), Address: c.Address(n), Zone: zones[k%len(zones)], Pool: pool,
+			cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("%s-%d", pool, k+1), Address: c.ServerAddress(n), Zone: zones[k%len(zones)], Pool: pool,
 				Slots: p.Fleet.ServiceSlots, DelayMillis: p.Fleet.ServiceDelayMillis})
 			n++
 		}
@@ -230,7 +230,7 @@
 }
 
 func generated(c *harness.Cluster) (int64, error) {
-	st, err := c.FakeState()
+	st, err := c.FakeServerState()
 	n := int64(0)
 	for _, e := range st.Engines {
 		n += e.GeneratedTokens
--- a/ctl/internal/capacity/main.go
+++ b/ctl/internal/capacity/main.go
@@ -165,7 +165,7 @@
 	for n := range s.customers {
 		names = append(names, fmt.Sprintf("customer-%04d", n))
 	}
-	c, err := harness.New(harness.Options{Bin: bin, Dir: dir, Instances: s.instances, Replicas: 3, Zones: []string{"a", "b", "c"}, Customers: names, LogLevel: "warn"})
+	c, err := harness.New(harness.Options{BinDir: bin, WorkDir: dir, InstanceCount: s.instances, ReplicaCount: 3, Zones: []string{"a", "b", "c"}, Customers: names, LogLevel: "warn"})
 	if err != nil {
 		return nil, err
 	}
@@ -203,17 +203,17 @@
 
 func setUp(ctx context.Context, c *harness.Cluster, s step) error {
 	c.Client.Addresses = c.Client.Addresses[:3]
-	if err := c.Up(ctx, declarations(1)); err != nil {
+	if err := c.StartWithBundle(ctx, declarations(1)); err != nil {
 		return err
 	}
 	var cfg fake.Config
 	for n := range s.servers {
-		cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("s%d", n), Address: fmt.Sprintf("%s:%d", hostOf(c.Address(140)), 9000+n), Zone: "a", Pool: "fixtures", Slots: 16})
+		cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("s%d", n), Address: fmt.Sprintf("%s:%d", hostOf(c.ServerAddress(140)), 9000+n), Zone: "a", Pool: "fixtures", Slots: 16})
 	}
-	if err := c.StartFake(cfg); err != nil {
+	if err := c.StartFakeServers(cfg); err != nil {
 		return err
 	}
-	return c.ServersReady(ctx, s.servers)
+	return c.WaitServersReady(ctx, s.servers)
 }
 
 func hostOf(address string) string {
@@ -227,7 +227,7 @@
 	var times []time.Duration
 	for v := uint64(2); v <= 6; v++ {
 		start := time.Now()
-		res, err := c.Client.Publish(ctx, c.Bundle(declarations(v)))
+		res, err := c.Client.Publish(ctx, c.CompleteBundle(declarations(v)))
 		if err != nil || res.Code != state.CodeOK {
 			return 0, eris.Errorf("publish: %v %s", err, res.Message)
 		}
@@ -303,7 +303,7 @@
 		switch {
 		case i == leader:
 			role = "leader"
-		case i.Folder != "":
+		case i.DataFolder != "":
 			role = "follower"
 		case i.Name == dispatcher:
 			role = "dispatcher"
--- a/ctl/internal/demo/main.go
+++ b/ctl/internal/demo/main.go
@@ -69,7 +69,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	c, err := harness.New(harness.Options{Bin: bin, Dir: dir, Instances: 3, Replicas: 3, Zones: []string{"zone-a", "zone-b"}, Customers: []string{"hotel"}})
+	c, err := harness.New(harness.Options{BinDir: bin, WorkDir: dir, InstanceCount: 3, ReplicaCount: 3, Zones: []string{"zone-a", "zone-b"}, Customers: []string{"hotel"}})
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 	if err := d.c.StartAll(); err != nil {
 		return "", err
 	}
-	if err := d.c.Ready(ctx, 0); err != nil {
+	if err := d.c.WaitInstancesReady(ctx, 0); err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("leases everywhere after %d ms", time.Since(start).Milliseconds()), nil
@@ -138,7 +138,7 @@
 
 func publishVersion(ctx context.Context, d *demo, version uint64) (string, error) {
 	start := time.Now()
-	res, err := d.c.Client.Publish(ctx, d.c.Bundle(declarations(version)))
+	res, err := d.c.Client.Publish(ctx, d.c.CompleteBundle(declarations(version)))
 	if err != nil {
 		return "", err
 	}
@@ -156,22 +156,22 @@
 
 func announceServers(ctx context.Context, d *demo) (string, error) {
 	engine := func(n int) fake.EngineConfig {
-		return fake.EngineConfig{ID: fmt.Sprintf("engine-%d", n), Address: d.c.Address(n), Zone: "zone-a", Pool: "lumen", Slots: 8, StepBaseMicros: 15000,
+		return fake.EngineConfig{ID: fmt.Sprintf("engine-%d", n), Address: d.c.ServerAddress(n), Zone: "zone-a", Pool: "lumen", Slots: 8, StepBaseMicros: 15000,
 			StepPerCallMicros: 500, PrefillTokensPerSecond: 20000, CachePrefixes: 256, ReportLagMillis: 1000, CacheEventLossPercent: 10}
 	}
 	cfg := fake.Config{Engines: []fake.EngineConfig{engine(1), engine(2)},
-		Services: []fake.ServiceConfig{{ID: "fixture-1", Address: d.c.Address(3), Zone: "zone-b", Pool: "fixtures", Slots: 16, DelayMillis: 20}}}
-	if err := d.c.StartFake(cfg); err != nil {
+		Services: []fake.ServiceConfig{{ID: "fixture-1", Address: d.c.ServerAddress(3), Zone: "zone-b", Pool: "fixtures", Slots: 16, DelayMillis: 20}}}
+	if err := d.c.StartFakeServers(cfg); err != nil {
 		return "", err
 	}
-	return "2 engines, 1 service", d.c.ServersReady(ctx, 3)
+	return "2 engines, 1 service", d.c.WaitServersReady(ctx, 3)
 }
 
 func addresses(ctx context.Context, d *demo) (string, error) {
 	var list *api.AddressList
 	err := harness.WaitFor(ctx, "three addresses in the list", func() bool {
 		var err error
-		list, err = caller.FetchAddresses(ctx, d.c.Instances[1].Caller, "zone-a")
+		list, err = caller.FetchAddresses(ctx, d.c.Instances[1].CallerAddress, "zone-a")
 		return err == nil && len(list.Addresses) == 3
 	})
 	if err != nil {
@@ -186,7 +186,7 @@
 
 func (d *demo) zoneOf(address string) string {
 	for _, i := range d.c.Instances {
-		if i.Caller == address {
+		if i.CallerAddress == address {
 			return i.Zone
 		}
 	}
@@ -194,7 +194,7 @@
 }
 
 func (d *demo) chatRequest(entry, output int, prompt string) *caller.Request {
-	return &caller.Request{Address: d.c.Instances[entry].Caller, Customer: d.c.CustomerKeys["hotel"], Model: "lumen", Prompt: []string{prompt}, OutputTokens: output, Stream: true}
+	return &caller.Request{Address: d.c.Instances[entry].CallerAddress, Customer: d.c.CustomerKeys["hotel"], Model: "lumen", Prompt: []string{prompt}, OutputTokens: output, Stream: true}
 }
 
 func whole(res *caller.Result) error {
@@ -215,7 +215,7 @@
 }
 
 func (d *demo) dimming(entry int, key string, body string) *caller.Request {
-	return &caller.Request{Address: d.c.Instances[entry].Caller, Customer: d.c.CustomerKeys["hotel"], IdempotencyKey: key, Service: "fixtures", Path: "/dim", Body: []byte(body)}
+	return &caller.Request{Address: d.c.Instances[entry].CallerAddress, Customer: d.c.CustomerKeys["hotel"], IdempotencyKey: key, Service: "fixtures", Path: "/dim", Body: []byte(body)}
 }
 
 func once(ctx context.Context, d *demo) (string, error) {
@@ -227,7 +227,7 @@
 			return "", err
 		}
 	}
-	runs, err := d.c.Runs(key)
+	runs, err := d.c.Executions(key)
 	if err != nil {
 		return "", err
 	}
@@ -288,7 +288,7 @@
 	if err != nil {
 		return "", err
 	}
-	st, err := d.c.FakeState()
+	st, err := d.c.FakeServerState()
 	last := st.LastNewRequest["engine-1"].Sub(at)
 	if last > 2*time.Second {
 		return "", eris.Errorf("new work %v after the order", last)
@@ -311,10 +311,10 @@
 // killReplica goes on with the second instance alone to lose one of three: the
 // third one comes back first.
 func killReplica(ctx context.Context, d *demo) (string, error) {
-	if err := d.c.Start(d.c.Instances[2]); err != nil {
+	if err := d.c.StartInstance(d.c.Instances[2]); err != nil {
 		return "", err
 	}
-	if err := d.c.Ready(ctx, 2); err != nil {
+	if err := d.c.WaitInstancesReady(ctx, 2); err != nil {
 		return "", err
 	}
 	leader, err := d.c.Leader(ctx)
@@ -323,9 +323,9 @@
 	}
 	leader.Process().Kill()
 	live := d.living(leader)
-	d.c.Client.Addresses = []string{d.c.Instances[live].Caller}
+	d.c.Client.Addresses = []string{d.c.Instances[live].CallerAddress}
 	start := time.Now()
-	res, err := d.c.Client.Publish(ctx, d.c.Bundle(declarations(2)))
+	res, err := d.c.Client.Publish(ctx, d.c.CompleteBundle(declarations(2)))
 	if err != nil || res.Code != state.CodeOK {
 		return "", eris.Errorf("publish: %v %s", err, res.Message)
 	}
--- a/ctl/internal/overhead/main.go
+++ b/ctl/internal/overhead/main.go
@@ -52,7 +52,7 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	c, err := harness.New(harness.Options{Bin: bin, Dir: dir, Instances: 3, Replicas: 3, Zones: []string{"a"}, Customers: []string{"hotel"}, LogLevel: "warn"})
+	c, err := harness.New(harness.Options{BinDir: bin, WorkDir: dir, InstanceCount: 3, ReplicaCount: 3, Zones: []string{"a"}, Customers: []string{"hotel"}, LogLevel: "warn"})
 	if err != nil {
 		return err
 	}
@@ -71,14 +71,14 @@
 	once.Idempotent = false
 	b := &bundle.Bundle{Version: 1, Classes: map[string]bundle.Class{"plain": class, "once": once},
 		Pools: map[string]bundle.Pool{"fixtures": {Kind: bundle.PoolService, DefaultClass: "plain"}}}
-	if err := c.Up(ctx, b); err != nil {
+	if err := c.StartWithBundle(ctx, b); err != nil {
 		return err
 	}
-	err := c.StartFake(fake.Config{Services: []fake.ServiceConfig{{ID: "s", Address: c.Address(1), Zone: "a", Pool: "fixtures", Slots: serverSlots}}})
+	err := c.StartFakeServers(fake.Config{Services: []fake.ServiceConfig{{ID: "s", Address: c.ServerAddress(1), Zone: "a", Pool: "fixtures", Slots: serverSlots}}})
 	if err != nil {
 		return err
 	}
-	return c.ServersReady(ctx, 1)
+	return c.WaitServersReady(ctx, 1)
 }
 
 // ways are the compared ways to the server.
@@ -86,7 +86,7 @@
 	body := []byte(`{"lamp":7,"level":40}`)
 	via := func(class string, keyed bool) func(context.Context, int) error {
 		return func(ctx context.Context, worker int) error {
-			r := &caller.Request{Address: c.Instances[worker%3].Caller, Customer: c.CustomerKeys["hotel"], Class: class, Service: "fixtures", Path: "/dim", Body: body}
+			r := &caller.Request{Address: c.Instances[worker%3].CallerAddress, Customer: c.CustomerKeys["hotel"], Class: class, Service: "fixtures", Path: "/dim", Body: body}
 			if keyed {
 				r.IdempotencyKey = caller.NewIdempotencyKey()
 			}
@@ -98,7 +98,7 @@
 		}
 	}
 	direct := func(ctx context.Context, _ int) error {
-		resp, err := http.Post("http://"+c.Address(1)+"/dim", "application/json", bytes.NewReader(body))
+		resp, err := http.Post("http://"+c.ServerAddress(1)+"/dim", "application/json", bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
--- a/ctl/prove/bundles_test.go
+++ b/ctl/prove/bundles_test.go
@@ -106,7 +106,7 @@
 		})
 		return out.generation
 	}
-	first := w.Bundle(declarations(1))
+	first := w.CompleteBundle(declarations(1))
 	h.ops = append(h.ops, porcupine.Operation{Input: registerInput{version: 1, digest: first.Digest()}, Output: registerOutput{code: state.CodeOK, generation: 1}, Call: 0, Return: 1})
 	stop := w.watchGenerations()
 	done := make(chan struct{})
@@ -117,7 +117,7 @@
 			l := w.leader()
 			l.Process().Kill()
 			time.Sleep(1200 * time.Millisecond)
-			if err := w.Start(l); err != nil {
+			if err := w.StartInstance(l); err != nil {
 				t.Error(err)
 			}
 			t.Logf("kill %d: leader %s", k+1, l.Name)
@@ -128,7 +128,7 @@
 		wg.Go(func() {
 			c := &client.Client{Key: w.Client.Key, Addresses: append(append([]string{}, w.Client.Addresses[k:]...), w.Client.Addresses[:k]...)}
 			for v := uint64(2); v < 2+rounds; v++ {
-				b := w.Bundle(declarations(v))
+				b := w.CompleteBundle(declarations(v))
 				b.Description = fmt.Sprintf("by client %d", k)
 				w.raceOne(h, k, c, b, read)
 			}
@@ -219,15 +219,15 @@
 	want := uint64(1 + changes)
 	for _, i := range w.Instances {
 		must(t, i.Process().Stop(20*time.Second))
-		must(t, w.Start(i))
-		must(t, w.Ready(w.ctx, want))
+		must(t, w.StartInstance(i))
+		must(t, w.WaitInstancesReady(w.ctx, want))
 	}
 	for _, i := range w.Instances {
 		i.Process().Kill()
 	}
 	restart := time.Now()
 	must(t, w.StartAll())
-	must(t, w.Ready(w.ctx, want))
+	must(t, w.WaitInstancesReady(w.ctx, want))
 	st, err := w.Client.Status(w.ctx)
 	must(t, err)
 	list, err := w.Client.Audit(w.ctx, 0)
@@ -237,7 +237,7 @@
 	if st.Generation != want || len(st.Retired) != changes || len(list) != int(want) {
 		t.Fatalf("generation %d, want %d", st.Generation, want)
 	}
-	res, err := w.Client.Order(w.ctx, w.Client.PublishOrder(w.Bundle(declarations(1)), 0))
+	res, err := w.Client.Order(w.ctx, w.Client.PublishOrder(w.CompleteBundle(declarations(1)), 0))
 	must(t, err)
 	if res.Code != state.CodeOK || res.Order.Generation != 1 {
 		t.Fatalf("the first order again: %+v, want its first answer", res)
@@ -276,10 +276,10 @@
 	}
 	before, err := w.Client.Status(w.ctx)
 	must(t, err)
-	must(t, w.Cut(leader))
-	must(t, w.Cut(entry))
+	must(t, w.SetDropRules(leader))
+	must(t, w.SetDropRules(entry))
 	healed := time.Now()
-	must(t, w.Ready(w.ctx, 2))
+	must(t, w.WaitInstancesReady(w.ctx, 2))
 	back := time.Since(healed)
 	time.Sleep(2 * time.Second)
 	after, err := w.Client.Status(w.ctx)
@@ -293,7 +293,7 @@
 
 // accept publishes without waiting for instances that can't confirm.
 func (w *world) accept(t *testing.T, version uint64) {
-	res, err := w.Client.Publish(w.ctx, w.Bundle(declarations(version)))
+	res, err := w.Client.Publish(w.ctx, w.CompleteBundle(declarations(version)))
 	must(t, err)
 	if res.Code != state.CodeOK {
 		t.Fatal(res.Message)
@@ -306,19 +306,19 @@
 	w := begin(t, 4, 0)
 	for round, k := range []int{0, 1} {
 		lost := w.Instances[k]
-		old := w.memberAt(lost.Peer)
+		old := w.memberAt(lost.PeerAddress)
 		lost.Process().Kill()
-		must(t, os.RemoveAll(lost.Folder))
+		must(t, os.RemoveAll(lost.DataFolder))
 		version := uint64(2 + round)
 		w.operateBy(w.others(lost)...)
 		w.accept(t, version)
 		start := time.Now()
-		must(t, w.Start(lost))
-		must(t, w.repaired(lost.Peer, old))
+		must(t, w.StartInstance(lost))
+		must(t, w.repaired(lost.PeerAddress, old))
 		t.Logf("disk of %s lost: repaired by a new replica after %d ms", lost.Name, time.Since(start).Milliseconds())
 	}
 	w.operateBy(0, 1, 2, 3)
-	must(t, w.Ready(w.ctx, 3))
+	must(t, w.WaitInstancesReady(w.ctx, 3))
 	third := w.Instances[2]
 	third.Process().Kill()
 	w.operateBy(0, 1, 3)
--- a/ctl/prove/lethal_test.go
+++ b/ctl/prove/lethal_test.go
@@ -75,7 +75,7 @@
 // expectEnds compares how often servers have crashed with what is allowed.
 func (w *world) expectEnds(t *testing.T, servers []string, most int) {
 	t.Helper()
-	st, err := w.FakeState()
+	st, err := w.FakeServerState()
 	must(t, err)
 	ends := 0
 	for id, at := range st.Crashes {
--- a/ctl/prove/limit_test.go
+++ b/ctl/prove/limit_test.go
@@ -39,12 +39,12 @@
 		})
 	}
 	limit := perSecond
-	must(t, w.Steer(fake.EngineAdjustment{Engine: "e1", RequestsPerSecond: &limit}))
+	must(t, w.AdjustEngine(fake.EngineAdjustment{Engine: "e1", RequestsPerSecond: &limit}))
 	time.Sleep(known)
 	if got, most := w.requestsIn("e1", length), int(perSecond*length.Seconds())+slack; got > most || got < most/2 {
 		t.Errorf("the engine got %d requests in %v; it takes %g a second", got, length, perSecond)
 	}
-	must(t, w.Steer(fake.EngineAdjustment{Engine: "e1"}))
+	must(t, w.AdjustEngine(fake.EngineAdjustment{Engine: "e1"}))
 	time.Sleep(known)
 	if got := w.requestsIn("e1", time.Second); got < 10 {
 		t.Errorf("the engine got %d requests in the second after its limit has ended", got)
@@ -54,10 +54,10 @@
 // requestsIn counts the requests that an engine gets in some time.
 func (w *world) requestsIn(engine string, length time.Duration) int {
 	w.t.Helper()
-	before, err := w.FakeState()
+	before, err := w.FakeServerState()
 	must(w.t, err)
 	time.Sleep(length)
-	after, err := w.FakeState()
+	after, err := w.FakeServerState()
 	must(w.t, err)
 	n := after.Engines[engine].Requests - before.Engines[engine].Requests
 	w.t.Logf("%s got %d requests in %v", engine, n, length)
--- a/ctl/prove/once_test.go
+++ b/ctl/prove/once_test.go
@@ -151,8 +151,8 @@
 	for range 5 {
 		victim := w.Instances[3]
 		h.volley(3, []int{4, 0}, 30, func() { victim.Process().Kill() })
-		must(t, w.Start(victim))
-		must(t, w.Ready(w.ctx, 1))
+		must(t, w.StartInstance(victim))
+		must(t, w.WaitInstancesReady(w.ctx, 1))
 	}
 	h.settle(time.Second)
 }
@@ -164,8 +164,8 @@
 	for range 4 {
 		l := w.leader()
 		h.volley(3, []int{4, 3}, 30, func() { l.Process().Kill() })
-		must(t, w.Start(l))
-		must(t, w.Ready(w.ctx, 1))
+		must(t, w.StartInstance(l))
+		must(t, w.WaitInstancesReady(w.ctx, 1))
 	}
 	h.settle(time.Second)
 }
@@ -182,7 +182,7 @@
 			time.Sleep(3500 * time.Millisecond)
 			victim.Process().Signal(syscall.SIGCONT)
 		})
-		must(t, w.Ready(w.ctx, 1))
+		must(t, w.WaitInstancesReady(w.ctx, 1))
 	}
 	h.settle(3 * time.Second)
 }
--- a/ctl/prove/placement_test.go
+++ b/ctl/prove/placement_test.go
@@ -20,19 +20,19 @@
 // lower fencing number than it has seen, those that would obey it included.
 func TestEngineOrders(t *testing.T) {
 	w := begin(t, 5, 0)
-	w.Fake.Kill()
+	w.FakeServers.Kill()
 	var cfg fake.Config
 	const engines = 6
 	for n := range engines {
-		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: fmt.Sprintf("e%d", n+1), Address: w.Address(n + 1), Zone: "a", Pool: "lumen", Slots: slots,
+		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: fmt.Sprintf("e%d", n+1), Address: w.ServerAddress(n + 1), Zone: "a", Pool: "lumen", Slots: slots,
 			StepBaseMicros: 8000, StepPerCallMicros: 300, PrefillTokensPerSecond: 20000, CachePrefixes: 64, LoadMillis: 400})
 	}
-	must(t, w.StartFake(cfg))
-	must(t, w.ServersReady(w.ctx, engines))
+	must(t, w.StartFakeServers(cfg))
+	must(t, w.WaitServersReady(w.ctx, engines))
 	f := w.flow(12, func(worker, n int) *caller.Result {
 		return w.chat(worker%2, "mood", fmt.Sprintf("%d %d", worker, n), 10)
 	})
-	b := w.Bundle(declarations(2))
+	b := w.CompleteBundle(declarations(2))
 	pool := b.Pools["lumen"]
 	pool.EngineVersion = "v2"
 	b.Pools["lumen"] = pool
@@ -49,7 +49,7 @@
 	w.operateBy(w.others(orderer)...)
 	must(t, harness.WaitFor(w.ctx, "all engines on the new version", func() bool { return w.onVersion("v2") == engines }))
 	t.Logf("first two engines after %d ms, all %d with the orderer frozen %d ms after that", frozen.Sub(start).Milliseconds(), engines, time.Since(frozen).Milliseconds())
-	b = w.Bundle(declarations(3))
+	b = w.CompleteBundle(declarations(3))
 	pool.EngineVersion = "v3"
 	b.Pools["lumen"] = pool
 	if _, err := w.Client.Publish(w.ctx, b); err != nil {
@@ -64,7 +64,7 @@
 			bad++
 		}
 	}
-	st, err := w.FakeState()
+	st, err := w.FakeServerState()
 	must(t, err)
 	orders, highest := 0, uint64(0)
 	for id, e := range st.Engines {
@@ -85,7 +85,7 @@
 }
 
 func (w *world) onVersion(v string) int {
-	st, err := w.FakeState()
+	st, err := w.FakeServerState()
 	must(w.t, err)
 	n := 0
 	for _, e := range st.Engines {
@@ -100,7 +100,7 @@
 func (w *world) orderer() *harness.Instance {
 	w.t.Helper()
 	for _, i := range w.Instances {
-		if w.Logged(i, "order lease taken") {
+		if w.LogContains(i, "order lease taken") {
 			return i
 		}
 	}
--- a/ctl/prove/streams_test.go
+++ b/ctl/prove/streams_test.go
@@ -26,9 +26,9 @@
 	for k := range 6 {
 		time.Sleep(900 * time.Millisecond)
 		id := fmt.Sprintf("e%d", 1+k%4)
-		must(t, w.Steer(fake.EngineAdjustment{Engine: id, Down: true}))
+		must(t, w.AdjustEngine(fake.EngineAdjustment{Engine: id, Down: true}))
 		time.Sleep(600 * time.Millisecond)
-		must(t, w.Steer(fake.EngineAdjustment{Engine: id}))
+		must(t, w.AdjustEngine(fake.EngineAdjustment{Engine: id}))
 	}
 	list := f.end()
 	wrong, notWhole := 0, 0
@@ -51,7 +51,7 @@
 // capacity. None of it is refused or cut for a lower one, and every class runs.
 func TestTopTierInBurst(t *testing.T) {
 	w := begin(t, 4, 2)
-	before, err := w.FakeState()
+	before, err := w.FakeServerState()
 	must(t, err)
 	var low []*flow
 	for _, class := range []string{"scene", "summary"} {
@@ -82,7 +82,7 @@
 			t.Fatalf("a call of the top tier: %v", err)
 		}
 	}
-	after, err := w.FakeState()
+	after, err := w.FakeServerState()
 	must(t, err)
 	cancelled := int64(0)
 	for id, e := range after.Engines {
@@ -99,7 +99,7 @@
 
 // lastStart returns when a server last got new work.
 func (w *world) lastStart(id string) time.Time {
-	st, err := w.FakeState()
+	st, err := w.FakeServerState()
 	must(w.t, err)
 	return st.LastNewRequest[id]
 }
@@ -165,7 +165,7 @@
 	pick := func() string {
 		for {
 			i := w.Instances[int(next.Add(1))%5]
-			if list, err := caller.FetchAddresses(w.ctx, i.Caller, i.Zone); err == nil && len(list.Addresses) > 0 {
+			if list, err := caller.FetchAddresses(w.ctx, i.CallerAddress, i.Zone); err == nil && len(list.Addresses) > 0 {
 				return list.Addresses[0]
 			}
 		}
@@ -186,8 +186,8 @@
 			t.Fatalf("%s: %v", i.Name, err)
 		}
 		t.Logf("%s ended with exit code 0 after %d ms", i.Name, time.Since(start).Milliseconds())
-		must(t, w.Start(i))
-		must(t, w.Ready(w.ctx, 1))
+		must(t, w.StartInstance(i))
+		must(t, w.WaitInstancesReady(w.ctx, 1))
 	}
 	list := f.end()
 	for _, r := range list {
--- a/ctl/prove/world_test.go
+++ b/ctl/prove/world_test.go
@@ -69,11 +69,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	bin, err := filepath.Abs("../../bin")
 	must(t, err)
-	c, err := harness.New(harness.Options{Bin: bin, Dir: dir, Instances: instances, Replicas: 3, Zones: []string{"a", "b"}, Customers: []string{"hotel", "villa"}})
+	c, err := harness.New(harness.Options{BinDir: bin, WorkDir: dir, InstanceCount: instances, ReplicaCount: 3, Zones: []string{"a", "b"}, Customers: []string{"hotel", "villa"}})
 	must(t, err)
 	t.Cleanup(func() { cancel(); c.Close() })
 	must(t, c.StartAll())
-	must(t, c.Ready(ctx, 0))
+	must(t, c.WaitInstancesReady(ctx, 0))
 	w := &world{c, t, ctx}
 	w.publish(1)
 	w.startServers(engines)
@@ -89,7 +89,7 @@
 
 func (w *world) publish(version uint64) {
 	w.t.Helper()
-	res, err := w.Client.Publish(w.ctx, w.Bundle(declarations(version)))
+	res, err := w.Client.Publish(w.ctx, w.CompleteBundle(declarations(version)))
 	must(w.t, err)
 	if res.Code != state.CodeOK {
 		w.t.Fatalf("publish %d: %s %s", version, res.Code, res.Message)
@@ -103,18 +103,18 @@
 	w.t.Helper()
 	var cfg fake.Config
 	for n := range engines {
-		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: fmt.Sprintf("e%d", n+1), Address: w.Address(n + 1), Zone: "a", Pool: "lumen", Slots: slots,
+		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: fmt.Sprintf("e%d", n+1), Address: w.ServerAddress(n + 1), Zone: "a", Pool: "lumen", Slots: slots,
 			StepBaseMicros: 8000, StepPerCallMicros: 300, PrefillTokensPerSecond: 20000, CachePrefixes: 64, ReportLagMillis: 1000, CacheEventLossPercent: 20})
 	}
 	for n := range 2 {
-		cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("s%d", n+1), Address: w.Address(40 + n), Zone: "b", Pool: "fixtures", Slots: 64, DelayMillis: 20})
+		cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("s%d", n+1), Address: w.ServerAddress(40 + n), Zone: "b", Pool: "fixtures", Slots: 64, DelayMillis: 20})
 	}
-	must(w.t, w.StartFake(cfg))
-	must(w.t, w.ServersReady(w.ctx, engines+2))
+	must(w.t, w.StartFakeServers(cfg))
+	must(w.t, w.WaitServersReady(w.ctx, engines+2))
 }
 
 func (w *world) chat(entry int, class, prompt string, output int) *caller.Result {
-	return caller.Do(w.ctx, &caller.Request{Address: w.Instances[entry].Caller, Customer: w.CustomerKeys["hotel"], Class: class, Model: "lumen",
+	return caller.Do(w.ctx, &caller.Request{Address: w.Instances[entry].CallerAddress, Customer: w.CustomerKeys["hotel"], Class: class, Model: "lumen",
 		Prompt: []string{prompt}, OutputTokens: output, Stream: true})
 }
 
@@ -123,13 +123,13 @@
 }
 
 func (w *world) call(entry int, class, key, body string) *caller.Result {
-	return caller.Do(w.ctx, &caller.Request{Address: w.Instances[entry].Caller, Customer: w.CustomerKeys["hotel"], Class: class, IdempotencyKey: key,
+	return caller.Do(w.ctx, &caller.Request{Address: w.Instances[entry].CallerAddress, Customer: w.CustomerKeys["hotel"], Class: class, IdempotencyKey: key,
 		Service: "fixtures", Path: "/dim", Body: []byte(body)})
 }
 
 func (w *world) runs(key string) int {
 	w.t.Helper()
-	list, err := w.Runs(key)
+	list, err := w.Executions(key)
 	must(w.t, err)
 	return len(list)
 }
@@ -173,7 +173,7 @@
 func (w *world) operateBy(entries ...int) {
 	w.Client.Addresses = nil
 	for _, k := range entries {
-		w.Client.Addresses = append(w.Client.Addresses, w.Instances[k].Caller)
+		w.Client.Addresses = append(w.Client.Addresses, w.Instances[k].CallerAddress)
 	}
 }
 
