--- a/ctl/fake/control.go
+++ b/ctl/fake/control.go
@@ -12,7 +12,7 @@
 	// LastNewRequest is when each server last received a request other than a
 	// cancellation or the resumption of a stream.
 	LastNewRequest map[string]time.Time `json:"last_start"`
-	// Retired is when each retired server was first told so.
+	// Retired is when each retired server first learned of it from a reply.
 	Retired map[string]time.Time `json:"retired"`
 	// Crashes are the times at which calls crashed each server.
 	Crashes map[string][]time.Time `json:"crashes"`
--- a/ctl/fake/engine.go
+++ b/ctl/fake/engine.go
@@ -193,6 +193,8 @@
 	return s.prefillTime * time.Duration(len(s.prefixHashes)-cachedBlocks) / time.Duration(len(s.prefixHashes))
 }
 
+// cachePrefix marks a prefix as used and evicts the least recently used one if the cache is
+// full.
 func (e *Engine) cachePrefix(h uint64) {
 	e.cacheClock++
 	if _, ok := e.prefixCache[h]; !ok {
@@ -249,6 +251,8 @@
 	s.progress = make(chan struct{})
 }
 
+// expireSequences removes ended sequences that nobody has read for sequenceRetention. Until
+// then their streams can be resumed.
 func (e *Engine) expireSequences(now time.Time) {
 	for id, s := range e.byID {
 		if s.done && s.readers == 0 && now.Sub(s.endedAt) > sequenceRetention {
--- a/ctl/fake/engine_test.go
+++ b/ctl/fake/engine_test.go
@@ -44,21 +44,21 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go e.Run(ctx)
-	s := httptest.NewServer(e)
-	defer s.Close()
+	server := httptest.NewServer(e)
+	defer server.Close()
 	prompt := `{"role":"user","content":"light"}`
-	whole, ended := readStream(t, "POST", s.URL+api.PathChat, `{"messages":[`+prompt+`],"metadata":{"output_tokens":12}}`)
-	if CountTokens(whole) != 12 || !ended {
-		t.Fatalf("got answer %q, end marker %t; want 12 tokens and an end marker", whole, ended)
+	full, ended := readStream(t, "POST", server.URL+api.PathChat, `{"messages":[`+prompt+`],"metadata":{"output_tokens":12}}`)
+	if CountTokens(full) != 12 || !ended {
+		t.Fatalf("got answer %q, end marker %t; want 12 tokens and an end marker", full, ended)
 	}
-	rest, ended := readStream(t, "GET", s.URL+"/v1/streams/r1?attempt=1&offset=9", "")
-	if !ended || !strings.HasSuffix(whole, rest) || CountTokens(rest) != 3 {
-		t.Fatalf("resumed at token 9: got %q, end marker %t; want the last 3 tokens of %q and an end marker", rest, ended, whole)
+	rest, ended := readStream(t, "GET", server.URL+"/v1/streams/r1?attempt=1&offset=9", "")
+	if !ended || !strings.HasSuffix(full, rest) || CountTokens(rest) != 3 {
+		t.Fatalf("resumed at token 9: got %q, end marker %t; want the last 3 tokens of %q and an end marker", rest, ended, full)
 	}
-	partial := whole[:strings.Index(whole, ".5 ")+3]
+	partial := full[:strings.Index(full, ".5 ")+3]
 	body := fmt.Sprintf(`{"messages":[%s,{"role":"assistant","content":%q}],"continue_final_message":true,"metadata":{"output_tokens":12}}`, prompt, partial)
-	more, ended := readStream(t, "POST", s.URL+api.PathChat, body)
-	if partial+more != whole || !ended {
-		t.Fatalf("continuation of %q is %q, end marker %t; want the rest of %q and an end marker", partial, more, ended, whole)
+	continuation, ended := readStream(t, "POST", server.URL+api.PathChat, body)
+	if partial+continuation != full || !ended {
+		t.Fatalf("continuation of %q is %q, end marker %t; want the rest of %q and an end marker", partial, continuation, ended, full)
 	}
 }
--- a/ctl/load/bound.go
+++ b/ctl/load/bound.go
@@ -106,17 +106,19 @@
 // promptBytesPerToken is the ratio by which fake engines count prompt tokens.
 const promptBytesPerToken = 4
 
+// prefillMicros returns the prefill time of the half of the prompt that is not shared.
 func (p *Profile) prefillMicros(s Stream) float64 {
 	unsharedTokens := float64(s.PromptBytes) / 2 / promptBytesPerToken
 	return unsharedTokens / float64(max(1, p.Fleet.Engines.PrefillTokensPerSecond)) * 1e6
 }
 
+// dropExpired removes the jobs that can no longer meet their first-token target.
 func dropExpired(queue []*job, now time.Duration) []*job {
-	kept := queue[:0]
+	remaining := queue[:0]
 	for _, j := range queue {
 		if j.startDeadline >= now {
-			kept = append(kept, j)
+			remaining = append(remaining, j)
 		}
 	}
-	return kept
+	return remaining
 }
--- a/ctl/load/report.go
+++ b/ctl/load/report.go
@@ -47,9 +47,10 @@
 	Classes []ClassReport `json:"classes"`
 	Phases  []PhaseReport `json:"phases"`
 	// GeneratedTokens counts the tokens that the engines generated, UsefulTokens those
-	// received in completed answers, and AbandonedTokens those received by callers
-	// whose call did not complete. WastedShare is the share of generated tokens that
-	// were not useful; RouterWastedShare excludes the abandoned ones as well.
+	// received in completed answers, and AbandonedTokens those received in other calls,
+	// such as calls whose deadline expired or whose caller left. WastedShare is the share
+	// of generated tokens that were not useful. RouterWastedShare leaves out the abandoned
+	// tokens too, since the router did not cause them.
 	GeneratedTokens   int64   `json:"generated_tokens"`
 	UsefulTokens      int64   `json:"useful_tokens"`
 	AbandonedTokens   int64   `json:"abandoned_tokens"`
@@ -72,7 +73,8 @@
 // histogramMaxMicros is the highest latency that histograms distinguish: one hour.
 const histogramMaxMicros = int64(time.Hour / time.Microsecond)
 
-// NewReport sums up the samples of a run.
+// NewReport sums up the samples of a run. SetGeneratedTokens and AddUpperBounds fill in the
+// rest.
 func NewReport(p *Profile, label string, samples []Sample) *Report {
 	r := &Report{Profile: p.Name, Label: label}
 	for k, ph := range p.Phases {
@@ -109,6 +111,7 @@
 	}
 }
 
+// newClassReport counts latencies of answered calls only, but shares of all calls.
 func newClassReport(p *Profile, phase int, class string, samples []Sample) ClassReport {
 	policy := p.Bundle.Classes[class]
 	c := ClassReport{Phase: p.Phases[phase].Name, Class: class, Tier: policy.Tier, Outcomes: map[string]int{}}
@@ -162,6 +165,7 @@
 	return 0
 }
 
+// longestGap sorts the times and returns the longest interval between two of them.
 func longestGap(completionTimes []time.Duration) time.Duration {
 	sort.Slice(completionTimes, func(i, j int) bool { return completionTimes[i] < completionTimes[j] })
 	gap := time.Duration(0)
