--- a/ctl/internal/bench/main.go
+++ b/ctl/internal/bench/main.go
@@ -1,6 +1,6 @@
-// Command bench runs a load profile against the dispatcher and the baselines,
-// one after another with the same arrivals, and writes tables, JSON lines and
-// plots. Faults are added with -fault.
+// Command bench runs a load profile against the dispatcher and the baseline policies, one
+// after another with the same arrivals, and writes tables, JSON lines and plots. The flag
+// -fault injects a fault into each run.
 package main
 
 import (
@@ -22,18 +22,18 @@
 	"cardamomwick.example/ctl/load"
 )
 
-// options are the command line.
+// options holds the command-line flags.
 type options struct {
-	bin, profile, policies, fault, out string
-	seed                               int64
-	only                               string
+	binDir, profile, policies, fault, outDir string
+	seed                                     int64
+	phases                                   string
 }
 
-// fault disturbs a running experiment; it is called in the first third of the
-// profile.
-type fault func(ctx context.Context, c *harness.Cluster) error
+// injectFault injects a fault into a running cluster. It is called after a quarter of the
+// profile's duration.
+type injectFault func(ctx context.Context, c *harness.Cluster) error
 
-var faults = map[string]fault{
+var faults = map[string]injectFault{
 	"none": func(context.Context, *harness.Cluster) error { return nil },
 	"straggler": func(_ context.Context, c *harness.Cluster) error {
 		return c.AdjustEngine(fake.EngineAdjustment{Engine: "engine-1", Slowdown: 4})
@@ -48,7 +48,7 @@
 		}
 		return nil
 	},
-	"dispatcher-killed": killDispatcher,
+	"dispatcher-killed": killEngineDispatcher,
 	"entry-killed": func(_ context.Context, c *harness.Cluster) error {
 		c.Instances[len(c.Instances)-1].Process().Kill()
 		return nil
@@ -59,7 +59,7 @@
 
 func engineID(n int) string { return fmt.Sprintf("engine-%d", n+1) }
 
-func killDispatcher(ctx context.Context, c *harness.Cluster) error {
+func killEngineDispatcher(ctx context.Context, c *harness.Cluster) error {
 	list, err := c.Client.Servers(ctx)
 	if err != nil {
 		return err
@@ -74,20 +74,20 @@
 			}
 		}
 	}
-	return nil // a baseline has no dispatcher
+	return nil // baseline policies have no dispatcher
 }
 
 func main() {
 	logx.Disable()
 	caller.ConfigureTransport()
 	var o options
-	flag.StringVar(&o.bin, "bin", "bin", "folder with the binaries")
+	flag.StringVar(&o.binDir, "bin", "bin", "folder with the binaries")
 	flag.StringVar(&o.profile, "profile", "samples/nurlight-load.toml", "load profile")
-	flag.StringVar(&o.policies, "policies", "round_robin,two_choices,dispatcher", "what to compare")
-	flag.StringVar(&o.fault, "fault", "none", "fault to add")
-	flag.StringVar(&o.out, "out", "out", "folder for reports")
-	flag.StringVar(&o.only, "phases", "", "run these phases only, separated by commas")
-	flag.Int64Var(&o.seed, "seed", 1, "draws the arrivals")
+	flag.StringVar(&o.policies, "policies", "round_robin,two_choices,dispatcher", "policies to compare, separated by commas")
+	flag.StringVar(&o.fault, "fault", "none", "fault to inject")
+	flag.StringVar(&o.outDir, "out", "out", "folder for reports")
+	flag.StringVar(&o.phases, "phases", "", "run these phases only, separated by commas")
+	flag.Int64Var(&o.seed, "seed", 1, "seed of the arrivals")
 	flag.Parse()
 	if err := run(&o); err != nil {
 		fmt.Fprintln(os.Stderr, "bench: failed:", err)
@@ -100,15 +100,15 @@
 	if err != nil {
 		return err
 	}
-	selectPhases(p, o.only)
-	f, ok := faults[o.fault]
+	selectPhases(p, o.phases)
+	inject, ok := faults[o.fault]
 	if !ok {
 		return eris.Errorf("unknown fault %q", o.fault)
 	}
-	if err := os.MkdirAll(o.out, 0o755); err != nil {
+	if err := os.MkdirAll(o.outDir, 0o755); err != nil {
 		return err
 	}
-	base := filepath.Join(o.out, p.Name+"-"+o.fault)
+	base := filepath.Join(o.outDir, p.Name+"-"+o.fault)
 	lines, err := os.Create(base + ".jsonl")
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 	arrivals := p.Arrivals(o.seed)
 	var reports []*load.Report
 	for _, policy := range strings.Split(o.policies, ",") {
-		r, err := experiment(o, p, policy, arrivals, f)
+		r, err := runExperiment(o, p, policy, arrivals, inject)
 		if err != nil {
 			return eris.Wrap(err, policy)
 		}
@@ -130,59 +130,59 @@
 	return load.Plot(base+".png", p.Name+", fault: "+o.fault, reports)
 }
 
-func selectPhases(p *load.Profile, only string) {
-	if only == "" {
+func selectPhases(p *load.Profile, names string) {
+	if names == "" {
 		return
 	}
-	var kept []load.Phase
+	var selected []load.Phase
 	for _, ph := range p.Phases {
-		if strings.Contains(","+only+",", ","+ph.Name+",") {
-			kept = append(kept, ph)
+		if strings.Contains(","+names+",", ","+ph.Name+",") {
+			selected = append(selected, ph)
 		}
 	}
-	p.Phases = kept
+	p.Phases = selected
 }
 
 const (
-	setUpLimit = 30 * time.Second
-	drainLimit = 3 * time.Minute
+	setupTimeout = 30 * time.Second
+	drainTimeout = 3 * time.Minute
 )
 
-// experiment runs one policy on a fresh cluster.
-func experiment(o *options, p *load.Profile, policy string, arrivals []load.Arrival, f fault) (*load.Report, error) {
+// runExperiment runs one policy on a new cluster.
+func runExperiment(o *options, p *load.Profile, policy string, arrivals []load.Arrival, inject injectFault) (*load.Report, error) {
 	dir, err := os.MkdirTemp("", "cardamomwick-bench-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	ctx, cancel := context.WithTimeout(context.Background(), setUpLimit+p.Duration()+drainLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), setupTimeout+p.Duration()+drainTimeout)
 	defer cancel()
-	opt := harness.Options{BinDir: o.bin, WorkDir: dir, InstanceCount: p.Fleet.Instances, ReplicaCount: 3, Zones: p.Fleet.Zones, Customers: p.CustomerNames(), LogLevel: "warn"}
+	harnessOptions := harness.Options{BinDir: o.binDir, WorkDir: dir, InstanceCount: p.Fleet.Instances, ReplicaCount: 3, Zones: p.Fleet.Zones, Customers: p.CustomerNames(), LogLevel: "warn"}
 	if policy != "dispatcher" {
-		opt.Baseline = policy
+		harnessOptions.Baseline = policy
 	}
-	c, err := harness.New(opt)
+	c, err := harness.New(harnessOptions)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	if err := setUp(ctx, c, p, policy == "dispatcher"); err != nil {
+	if err := startCluster(ctx, c, p, policy == "dispatcher"); err != nil {
 		return nil, err
 	}
-	before, err := generated(c)
+	before, err := generatedTokens(c)
 	if err != nil {
 		return nil, err
 	}
-	failed := make(chan error, 1)
-	time.AfterFunc(p.Duration()/4, func() { failed <- f(ctx, c) })
+	faultResult := make(chan error, 1)
+	time.AfterFunc(p.Duration()/4, func() { faultResult <- inject(ctx, c) })
 	target := &load.Target{Instances: c.Client.Addresses, Keys: c.CustomerKeys, Zones: p.Fleet.Zones}
 	samples := load.Run(ctx, p, target, arrivals, commands.ShowProgress)
 	fmt.Fprintln(os.Stderr)
-	if err := <-failed; err != nil {
+	if err := <-faultResult; err != nil {
 		return nil, err
 	}
-	time.Sleep(3 * time.Second) // abandoned generations end
-	after, err := generated(c)
+	time.Sleep(3 * time.Second) // longer than the fake engines continue abandoned streams
+	after, err := generatedTokens(c)
 	if err != nil {
 		return nil, err
 	}
@@ -192,25 +192,28 @@
 	return r, nil
 }
 
-func setUp(ctx context.Context, c *harness.Cluster, p *load.Profile, views bool) error {
-	ctx, cancel := context.WithTimeout(ctx, setUpLimit)
+// startCluster starts the profile's instances and fake servers, and waits until the servers
+// are usable.
+func startCluster(ctx context.Context, c *harness.Cluster, p *load.Profile, waitForServers bool) error {
+	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
 	b := p.Bundle
 	if err := c.StartWithBundle(ctx, &b); err != nil {
 		return err
 	}
-	cfg, n := standIns(c, p)
+	cfg, servers := fakeServers(c, p)
 	if err := c.StartFakeServers(cfg); err != nil {
 		return err
 	}
-	if views {
-		return c.WaitServersReady(ctx, n)
+	if waitForServers {
+		return c.WaitServersReady(ctx, servers)
 	}
-	time.Sleep(2 * time.Second) // baselines have no view of servers
+	time.Sleep(2 * time.Second) // baseline policies do not report usable servers
 	return nil
 }
 
-func standIns(c *harness.Cluster, p *load.Profile) (fake.Config, int) {
+// fakeServers returns the configuration of the profile's fake servers, and their number.
+func fakeServers(c *harness.Cluster, p *load.Profile) (fake.Config, int) {
 	var cfg fake.Config
 	e, zones := p.Fleet.Engines, p.Fleet.Zones
 	for n := range e.Count {
@@ -218,22 +221,22 @@
 			StepBaseMicros: e.StepBaseMicros, StepPerCallMicros: e.StepPerCallMicros, PrefillTokensPerSecond: e.PrefillTokensPerSecond,
 			CachePrefixes: e.CachePrefixes, ReportLagMillis: e.ReportLagMillis, CacheEventLossPercent: e.CacheEventLossPercent})
 	}
-	n := e.Count
+	servers := e.Count
 	for pool, count := range p.Fleet.Services {
 		for k := range count {
-			cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("%s-%d", pool, k+1), Address: c.ServerAddress(n), Zone: zones[k%len(zones)], Pool: pool,
+			cfg.Services = append(cfg.Services, fake.ServiceConfig{ID: fmt.Sprintf("%s-%d", pool, k+1), Address: c.ServerAddress(servers), Zone: zones[k%len(zones)], Pool: pool,
 				Slots: p.Fleet.ServiceSlots, DelayMillis: p.Fleet.ServiceDelayMillis})
-			n++
+			servers++
 		}
 	}
-	return cfg, n
+	return cfg, servers
 }
 
-func generated(c *harness.Cluster) (int64, error) {
+func generatedTokens(c *harness.Cluster) (int64, error) {
 	st, err := c.FakeServerState()
-	n := int64(0)
+	tokens := int64(0)
 	for _, e := range st.Engines {
-		n += e.GeneratedTokens
+		tokens += e.GeneratedTokens
 	}
-	return n, err
+	return tokens, err
 }
