--- a/ctl/internal/overhead/main.go
+++ b/ctl/internal/overhead/main.go
@@ -1,6 +1,6 @@
-// Command overhead measures what the path through an entry adds to a call,
-// against calling the stand-in directly, in one run: at 1, 16 and 128 callers,
-// for an idempotent class and for one whose keys are claimed.
+// Command overhead measures the latency that an entry adds to a call, compared with calling
+// the fake server directly in the same run. It uses 1, 16 and 128 callers, an idempotent
+// class, and a class whose idempotency keys are claimed.
 package main
 
 import (
@@ -25,10 +25,10 @@
 )
 
 const (
-	limit       = 3 * time.Minute
-	perMeasure  = 3 * time.Second
-	serverSlots = 1024
-	maxMicros   = int64(10 * time.Second / time.Microsecond)
+	runTimeout         = 3 * time.Minute
+	measureDuration    = 3 * time.Second
+	serverSlots        = 1024
+	histogramMaxMicros = int64(10 * time.Second / time.Microsecond)
 )
 
 func main() {
@@ -50,26 +50,26 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	c, err := harness.New(harness.Options{BinDir: bin, WorkDir: dir, InstanceCount: 3, ReplicaCount: 3, Zones: []string{"a"}, Customers: []string{"hotel"}, LogLevel: "warn"})
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	if err := setUp(ctx, c); err != nil {
+	if err := startCluster(ctx, c); err != nil {
 		return err
 	}
 	return measure(ctx, c)
 }
 
-func setUp(ctx context.Context, c *harness.Cluster) error {
+func startCluster(ctx context.Context, c *harness.Cluster) error {
 	second := bundle.Duration(time.Second)
 	class := bundle.Class{Tier: 1, Idempotent: true, FirstTokenTarget: second, Deadline: 10 * second, Order: bundle.QueueFIFO,
 		GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
-	once := class
-	once.Idempotent = false
-	b := &bundle.Bundle{Version: 1, Classes: map[string]bundle.Class{"plain": class, "once": once},
+	claimed := class
+	claimed.Idempotent = false
+	b := &bundle.Bundle{Version: 1, Classes: map[string]bundle.Class{"plain": class, "once": claimed},
 		Pools: map[string]bundle.Pool{"fixtures": {Kind: bundle.PoolService, DefaultClass: "plain"}}}
 	if err := c.StartWithBundle(ctx, b); err != nil {
 		return err
@@ -81,13 +81,13 @@
 	return c.WaitServersReady(ctx, 1)
 }
 
-// ways are the compared ways to the server.
-func ways(c *harness.Cluster) map[string]func(ctx context.Context, worker int) error {
+// paths returns the compared paths to the server.
+func paths(c *harness.Cluster) map[string]func(ctx context.Context, worker int) error {
 	body := []byte(`{"lamp":7,"level":40}`)
-	via := func(class string, keyed bool) func(context.Context, int) error {
+	throughEntry := func(class string, withKey bool) func(context.Context, int) error {
 		return func(ctx context.Context, worker int) error {
 			r := &caller.Request{Address: c.Instances[worker%3].CallerAddress, Customer: c.CustomerKeys["hotel"], Class: class, Service: "fixtures", Path: "/dim", Body: body}
-			if keyed {
+			if withKey {
 				r.IdempotencyKey = caller.NewIdempotencyKey()
 			}
 			res := caller.Do(ctx, r)
@@ -106,55 +106,56 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		return err
 	}
-	return map[string]func(context.Context, int) error{"direct": direct, "idempotent": via("plain", false), "claimed": via("once", true)}
+	return map[string]func(context.Context, int) error{"direct": direct, "idempotent": throughEntry("plain", false), "claimed": throughEntry("once", true)}
 }
 
-// pacedRate is the calls per second of the paced measure, over all callers:
-// about the peak that the users expect.
-const pacedRate = 1000
+// pacedCallsPerSecond is the total rate of all callers in the paced measurement, about the
+// peak that the users expect.
+const pacedCallsPerSecond = 1000
 
-// measure makes two tables: closed loops, which fill the machine with many
-// callers, and a paced one, which shows the path's own time.
+// measure prints two tables. In the closed loop, many callers saturate the machine; the
+// paced calls show the latency of the path itself.
 func measure(ctx context.Context, c *harness.Cluster) error {
 	fmt.Println("closed loops")
-	if err := table(ctx, c, func(int) time.Duration { return 0 }); err != nil {
+	if err := printTable(ctx, c, func(int) time.Duration { return 0 }); err != nil {
 		return err
 	}
-	fmt.Printf("\npaced at %d calls/s over all callers\n", pacedRate)
-	return table(ctx, c, func(callers int) time.Duration { return time.Duration(callers) * time.Second / pacedRate })
+	fmt.Printf("\npaced at %d calls/s over all callers\n", pacedCallsPerSecond)
+	return printTable(ctx, c, func(callers int) time.Duration { return time.Duration(callers) * time.Second / pacedCallsPerSecond })
 }
 
-func table(ctx context.Context, c *harness.Cluster, interval func(callers int) time.Duration) error {
+func printTable(ctx context.Context, c *harness.Cluster, interval func(callers int) time.Duration) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "callers\tway\tcalls/s\tp50 ms\tp95 ms\tp99 ms\tadded at p50 ms\t")
 	for _, callers := range []int{1, 16, 128} {
-		base := int64(0)
-		for _, way := range []string{"direct", "idempotent", "claimed"} {
-			h, err := drive(ctx, callers, interval(callers), ways(c)[way])
+		directP50 := int64(0)
+		for _, path := range []string{"direct", "idempotent", "claimed"} {
+			latencies, err := runCallers(ctx, callers, interval(callers), paths(c)[path])
 			if err != nil {
 				return err
 			}
-			p50 := h.ValueAtQuantile(50)
-			if way == "direct" {
-				base = p50
+			p50 := latencies.ValueAtQuantile(50)
+			if path == "direct" {
+				directP50 = p50
 			}
-			fmt.Fprintf(w, "%d\t%s\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", callers, way, float64(h.TotalCount())/perMeasure.Seconds(),
-				float64(p50)/1e3, float64(h.ValueAtQuantile(95))/1e3, float64(h.ValueAtQuantile(99))/1e3, float64(p50-base)/1e3)
+			fmt.Fprintf(w, "%d\t%s\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", callers, path, float64(latencies.TotalCount())/measureDuration.Seconds(),
+				float64(p50)/1e3, float64(latencies.ValueAtQuantile(95))/1e3, float64(latencies.ValueAtQuantile(99))/1e3, float64(p50-directP50)/1e3)
 		}
 	}
 	return w.Flush()
 }
 
-// drive calls for a fixed time, each caller at most once per interval.
-func drive(ctx context.Context, callers int, interval time.Duration, call func(context.Context, int) error) (*hdrhistogram.Histogram, error) {
-	total := hdrhistogram.New(1, maxMicros, 3)
+// runCallers calls for measureDuration, each caller at most once per interval, and returns
+// the latencies.
+func runCallers(ctx context.Context, callers int, interval time.Duration, call func(context.Context, int) error) (*hdrhistogram.Histogram, error) {
+	total := hdrhistogram.New(1, histogramMaxMicros, 3)
 	var mu sync.Mutex
 	var failure error
 	var wg sync.WaitGroup
-	end := time.Now().Add(perMeasure)
+	end := time.Now().Add(measureDuration)
 	for k := range callers {
 		wg.Go(func() {
-			h := hdrhistogram.New(1, maxMicros, 3)
+			latencies := hdrhistogram.New(1, histogramMaxMicros, 3)
 			next := time.Now().Add(interval * time.Duration(k) / time.Duration(callers))
 			for time.Now().Before(end) {
 				time.Sleep(time.Until(next))
@@ -166,10 +167,10 @@
 					mu.Unlock()
 					return
 				}
-				_ = h.RecordValue(time.Since(start).Microseconds())
+				_ = latencies.RecordValue(time.Since(start).Microseconds())
 			}
 			mu.Lock()
-			total.Merge(h)
+			total.Merge(latencies)
 			mu.Unlock()
 		})
 	}
