--- a/ctl/internal/demo/main.go
+++ b/ctl/internal/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo runs cardamomwick's main job end to end with real processes on
-// loopback addresses and prints what it measured. The last line is "demo: ok".
+// Command demo runs cardamomwick's main functions end to end, with real processes on
+// loopback addresses, and prints what it measured. On success the last line is "demo: ok".
 package main
 
 import (
@@ -21,7 +21,7 @@
 	"cardamomwick.example/ctl/harness"
 )
 
-const limit = 45 * time.Second
+const runTimeout = 45 * time.Second
 
 func main() {
 	logx.Disable()
@@ -37,11 +37,11 @@
 	fmt.Println("demo: ok")
 }
 
-// demo is the state that the steps share.
+// demo holds the state that the steps share.
 type demo struct {
-	c     *harness.Cluster
-	rows  [][2]string
-	begun time.Time
+	cluster *harness.Cluster
+	rows    [][2]string
+	started time.Time
 }
 
 type step struct {
@@ -51,14 +51,14 @@
 
 var steps = []step{
 	{"three instances up, replica group formed", startInstances},
-	{"bundle signed, published, in force everywhere", publish},
-	{"backend servers announced themselves", announceServers},
-	{"callers ask which addresses to use", addresses},
-	{"streamed chat answer equals the engine's", chat},
-	{"non-idempotent call twice with one key, by two entries", once},
-	{"typed errors for bad input, nothing lost", badInput},
-	{"backend server retired under load", retire},
-	{"instance shut down while a stream runs", shutdown},
+	{"bundle signed, published, in force everywhere", publishFirstBundle},
+	{"backend servers announced themselves", startServers},
+	{"callers ask which addresses to use", fetchAddresses},
+	{"streamed chat answer equals the engine's", streamChat},
+	{"non-idempotent call twice with one key, by two entries", callTwiceWithOneKey},
+	{"typed errors for bad input, nothing lost", rejectBadInput},
+	{"backend server retired under load", retireUnderLoad},
+	{"instance shut down while a stream runs", shutdownWhileStreaming},
 	{"one of three replicas killed: publish and call go on", killReplica},
 }
 
@@ -67,24 +67,24 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	c, err := harness.New(harness.Options{BinDir: bin, WorkDir: dir, InstanceCount: 3, ReplicaCount: 3, Zones: []string{"zone-a", "zone-b"}, Customers: []string{"hotel"}})
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	d := &demo{c: c, begun: time.Now()}
-	failure := d.steps(ctx)
-	d.print()
+	d := &demo{cluster: c, started: time.Now()}
+	failure := d.runSteps(ctx)
+	d.printResults()
 	if failure != nil {
-		fmt.Fprintln(os.Stderr, "logs are kept in", dir)
+		fmt.Fprintln(os.Stderr, "logs of the failed run are in", dir)
 		return failure
 	}
 	return os.RemoveAll(dir)
 }
 
-func (d *demo) steps(ctx context.Context) error {
+func (d *demo) runSteps(ctx context.Context) error {
 	for _, s := range steps {
 		start := time.Now()
 		figure, err := s.run(ctx, d)
@@ -96,17 +96,17 @@
 	return nil
 }
 
-func (d *demo) print() {
+func (d *demo) printResults() {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	for _, r := range d.rows {
 		fmt.Fprintf(w, "%s\t%s\n", r[0], r[1])
 	}
-	fmt.Fprintf(w, "whole run\t%.1f s\n", time.Since(d.begun).Seconds())
+	fmt.Fprintf(w, "total\t%.1f s\n", time.Since(d.started).Seconds())
 	w.Flush()
 }
 
-// declarations is the demo's bundle.
-func declarations(version uint64) *bundle.Bundle {
+// newBundle returns the demo's bundle.
+func newBundle(version uint64) *bundle.Bundle {
 	ms := func(n int) bundle.Duration { return bundle.Duration(time.Duration(n) * time.Millisecond) }
 	return &bundle.Bundle{
 		Version: version, Description: "demo",
@@ -127,18 +127,18 @@
 
 func startInstances(ctx context.Context, d *demo) (string, error) {
 	start := time.Now()
-	if err := d.c.StartAll(); err != nil {
+	if err := d.cluster.StartAll(); err != nil {
 		return "", err
 	}
-	if err := d.c.WaitInstancesReady(ctx, 0); err != nil {
+	if err := d.cluster.WaitInstancesReady(ctx, 0); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("leases everywhere after %d ms", time.Since(start).Milliseconds()), nil
+	return fmt.Sprintf("all instances have leases after %d ms", time.Since(start).Milliseconds()), nil
 }
 
 func publishVersion(ctx context.Context, d *demo, version uint64) (string, error) {
 	start := time.Now()
-	res, err := d.c.Client.Publish(ctx, d.c.CompleteBundle(declarations(version)))
+	res, err := d.cluster.Client.Publish(ctx, d.cluster.CompleteBundle(newBundle(version)))
 	if err != nil {
 		return "", err
 	}
@@ -146,32 +146,34 @@
 		return "", eris.New(res.Message)
 	}
 	accepted := time.Since(start)
-	if err := d.c.Client.WaitInForce(ctx, res.Order.Generation, nil); err != nil {
+	if err := d.cluster.Client.WaitInForce(ctx, res.Order.Generation, nil); err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("accepted in %d ms, in force in %d ms", accepted.Milliseconds(), time.Since(start).Milliseconds()), nil
 }
 
-func publish(ctx context.Context, d *demo) (string, error) { return publishVersion(ctx, d, 1) }
+func publishFirstBundle(ctx context.Context, d *demo) (string, error) {
+	return publishVersion(ctx, d, 1)
+}
 
-func announceServers(ctx context.Context, d *demo) (string, error) {
+func startServers(ctx context.Context, d *demo) (string, error) {
 	engine := func(n int) fake.EngineConfig {
-		return fake.EngineConfig{ID: fmt.Sprintf("engine-%d", n), Address: d.c.ServerAddress(n), Zone: "zone-a", Pool: "lumen", Slots: 8, StepBaseMicros: 15000,
+		return fake.EngineConfig{ID: fmt.Sprintf("engine-%d", n), Address: d.cluster.ServerAddress(n), Zone: "zone-a", Pool: "lumen", Slots: 8, StepBaseMicros: 15000,
 			StepPerCallMicros: 500, PrefillTokensPerSecond: 20000, CachePrefixes: 256, ReportLagMillis: 1000, CacheEventLossPercent: 10}
 	}
 	cfg := fake.Config{Engines: []fake.EngineConfig{engine(1), engine(2)},
-		Services: []fake.ServiceConfig{{ID: "fixture-1", Address: d.c.ServerAddress(3), Zone: "zone-b", Pool: "fixtures", Slots: 16, DelayMillis: 20}}}
-	if err := d.c.StartFakeServers(cfg); err != nil {
+		Services: []fake.ServiceConfig{{ID: "fixture-1", Address: d.cluster.ServerAddress(3), Zone: "zone-b", Pool: "fixtures", Slots: 16, DelayMillis: 20}}}
+	if err := d.cluster.StartFakeServers(cfg); err != nil {
 		return "", err
 	}
-	return "2 engines, 1 service", d.c.WaitServersReady(ctx, 3)
+	return "2 engines, 1 service", d.cluster.WaitServersReady(ctx, 3)
 }
 
-func addresses(ctx context.Context, d *demo) (string, error) {
+func fetchAddresses(ctx context.Context, d *demo) (string, error) {
 	var list *api.AddressList
 	err := harness.WaitFor(ctx, "three addresses in the list", func() bool {
 		var err error
-		list, err = caller.FetchAddresses(ctx, d.c.Instances[1].CallerAddress, "zone-a")
+		list, err = caller.FetchAddresses(ctx, d.cluster.Instances[1].CallerAddress, "zone-a")
 		return err == nil && len(list.Addresses) == 3
 	})
 	if err != nil {
@@ -179,13 +181,13 @@
 	}
 	first := d.zoneOf(list.Addresses[0])
 	if first != "zone-a" {
-		return "", eris.Errorf("the first address is in %s", first)
+		return "", eris.Errorf("first address is in zone %q, want zone-a", first)
 	}
-	return fmt.Sprintf("%d addresses, own zone first, kept for %d ms", len(list.Addresses), list.TTLMillis), nil
+	return fmt.Sprintf("%d addresses, own zone first, valid for %d ms", len(list.Addresses), list.TTLMillis), nil
 }
 
 func (d *demo) zoneOf(address string) string {
-	for _, i := range d.c.Instances {
+	for _, i := range d.cluster.Instances {
 		if i.CallerAddress == address {
 			return i.Zone
 		}
@@ -194,50 +196,55 @@
 }
 
 func (d *demo) chatRequest(entry, output int, prompt string) *caller.Request {
-	return &caller.Request{Address: d.c.Instances[entry].CallerAddress, Customer: d.c.CustomerKeys["hotel"], Model: "lumen", Prompt: []string{prompt}, OutputTokens: output, Stream: true}
+	return &caller.Request{Address: d.cluster.Instances[entry].CallerAddress, Customer: d.cluster.CustomerKeys["hotel"], Model: "lumen", Prompt: []string{prompt}, OutputTokens: output, Stream: true}
 }
 
-func whole(res *caller.Result) error {
+// checkAnswer returns an error unless the call completed with the full answer to its request.
+func checkAnswer(res *caller.Result) error {
 	switch {
 	case res.Transport != nil:
 		return res.Transport
 	case res.Error != nil:
 		return eris.Errorf("%s: %s (%s)", res.Error.Type, res.Error.Message, res.Error.Outcome)
 	case !res.Correct || res.Outcome != state.OutcomeCompleted:
-		return eris.Errorf("answer not whole: %d tokens, outcome %q", res.Tokens, res.Outcome)
+		return eris.Errorf("answer is incomplete or wrong: %d tokens, outcome %q", res.Tokens, res.Outcome)
 	}
 	return nil
 }
 
-func chat(ctx context.Context, d *demo) (string, error) {
+func streamChat(ctx context.Context, d *demo) (string, error) {
 	res := caller.Do(ctx, d.chatRequest(0, 60, "A warm evening light for the lobby"))
-	return fmt.Sprintf("%d tokens, first after %d ms, outcome %s", res.Tokens, res.FirstToken.Milliseconds(), res.Outcome), whole(res)
+	return fmt.Sprintf("%d tokens, first after %d ms, outcome %s", res.Tokens, res.FirstToken.Milliseconds(), res.Outcome), checkAnswer(res)
 }
 
-func (d *demo) dimming(entry int, key string, body string) *caller.Request {
-	return &caller.Request{Address: d.c.Instances[entry].CallerAddress, Customer: d.c.CustomerKeys["hotel"], IdempotencyKey: key, Service: "fixtures", Path: "/dim", Body: []byte(body)}
+func (d *demo) dimRequest(entry int, key string, body string) *caller.Request {
+	return &caller.Request{Address: d.cluster.Instances[entry].CallerAddress, Customer: d.cluster.CustomerKeys["hotel"], IdempotencyKey: key, Service: "fixtures", Path: "/dim", Body: []byte(body)}
 }
 
-func once(ctx context.Context, d *demo) (string, error) {
+// callTwiceWithOneKey sends a non-idempotent call through two entries and checks that it ran
+// once and that both got the answer.
+func callTwiceWithOneKey(ctx context.Context, d *demo) (string, error) {
 	key := caller.NewIdempotencyKey()
-	first := caller.Do(ctx, d.dimming(0, key, `{"lamp":7,"level":40}`))
-	second := caller.Do(ctx, d.dimming(1, key, `{"lamp":7,"level":40}`))
+	first := caller.Do(ctx, d.dimRequest(0, key, `{"lamp":7,"level":40}`))
+	second := caller.Do(ctx, d.dimRequest(1, key, `{"lamp":7,"level":40}`))
 	for _, r := range []*caller.Result{first, second} {
-		if err := whole(r); err != nil {
+		if err := checkAnswer(r); err != nil {
 			return "", err
 		}
 	}
-	runs, err := d.c.Executions(key)
+	runs, err := d.cluster.Executions(key)
 	if err != nil {
 		return "", err
 	}
 	if len(runs) != 1 || !second.Repeat {
-		return "", eris.Errorf("%d runs, repeat %t", len(runs), second.Repeat)
+		return "", eris.Errorf("got %d executions, second answer marked as repeat: %t; want 1 and true", len(runs), second.Repeat)
 	}
 	return fmt.Sprintf("1 run; first answer in %d ms, the recorded one in %d ms", first.Total.Milliseconds(), second.Total.Milliseconds()), nil
 }
 
-func badInput(ctx context.Context, d *demo) (string, error) {
+// rejectBadInput checks that invalid calls are rejected with a typed error and without being
+// run.
+func rejectBadInput(ctx context.Context, d *demo) (string, error) {
 	bad := []func(*caller.Request){
 		func(r *caller.Request) { r.Customer = "nobody" },
 		func(r *caller.Request) { r.Class = "no-such-class" },
@@ -255,31 +262,31 @@
 	return fmt.Sprintf("%d kinds, all not_run", len(bad)), nil
 }
 
-// retire keeps calls flowing while a server is retired and reports when its
-// last new work came.
-func retire(ctx context.Context, d *demo) (string, error) {
-	flow, stop := context.WithCancel(ctx)
+// retireUnderLoad retires a server while calls are made and reports when the server
+// received its last new request.
+func retireUnderLoad(ctx context.Context, d *demo) (string, error) {
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	failures := make(chan error, 1)
-	ended := make(chan struct{})
+	loadEnded := make(chan struct{})
 	go func() {
-		defer close(ended)
-		for n := 0; flow.Err() == nil; n++ {
+		defer close(loadEnded)
+		for n := 0; loadCtx.Err() == nil; n++ {
 			res := caller.Do(ctx, d.chatRequest(n%3, 3, fmt.Sprintf("light %d", n)))
-			if err := whole(res); err != nil {
+			if err := checkAnswer(res); err != nil {
 				failures <- err
 				return
 			}
 		}
 	}()
 	time.Sleep(500 * time.Millisecond)
-	at := time.Now()
-	res, err := d.c.Client.Retire(ctx, "engine-1")
+	orderedAt := time.Now()
+	res, err := d.cluster.Client.Retire(ctx, "engine-1")
 	if err == nil && res.Code != state.CodeOK {
 		err = errors.New(res.Message)
 	}
 	time.Sleep(3 * time.Second)
-	stop()
-	<-ended
+	stopLoad()
+	<-loadEnded
 	select {
 	case f := <-failures:
 		return "", f
@@ -288,58 +295,59 @@
 	if err != nil {
 		return "", err
 	}
-	st, err := d.c.FakeServerState()
-	last := st.LastNewRequest["engine-1"].Sub(at)
-	if last > 2*time.Second {
-		return "", eris.Errorf("new work %v after the order", last)
+	st, err := d.cluster.FakeServerState()
+	lastRequest := st.LastNewRequest["engine-1"].Sub(orderedAt)
+	if lastRequest > 2*time.Second {
+		return "", eris.Errorf("retired server received a new request %v after the order, want at most 2s", lastRequest)
 	}
-	return fmt.Sprintf("last new work %d ms after the order", max(0, last.Milliseconds())), err
+	return fmt.Sprintf("last new request %d ms after the order", max(0, lastRequest.Milliseconds())), err
 }
 
-// shutdown stops the third instance while it streams.
-func shutdown(ctx context.Context, d *demo) (string, error) {
+// shutdownWhileStreaming stops the third instance while it streams an answer.
+func shutdownWhileStreaming(ctx context.Context, d *demo) (string, error) {
 	results := make(chan *caller.Result, 1)
 	go func() { results <- caller.Do(ctx, d.chatRequest(2, 250, "a long scene for the whole villa")) }()
 	time.Sleep(300 * time.Millisecond)
-	if err := d.c.Instances[2].Process().Stop(30 * time.Second); err != nil {
+	if err := d.cluster.Instances[2].Process().Stop(30 * time.Second); err != nil {
 		return "", err
 	}
 	res := <-results
-	return fmt.Sprintf("%d tokens whole, exit 0", res.Tokens), whole(res)
+	return fmt.Sprintf("complete answer of %d tokens, exit status 0", res.Tokens), checkAnswer(res)
 }
 
-// killReplica goes on with the second instance alone to lose one of three: the
-// third one comes back first.
+// killReplica restarts the third instance, so that three replicas run, and kills the
+// leader. Publishing and calls must still succeed through a surviving instance.
 func killReplica(ctx context.Context, d *demo) (string, error) {
-	if err := d.c.StartInstance(d.c.Instances[2]); err != nil {
+	if err := d.cluster.StartInstance(d.cluster.Instances[2]); err != nil {
 		return "", err
 	}
-	if err := d.c.WaitInstancesReady(ctx, 2); err != nil {
+	if err := d.cluster.WaitInstancesReady(ctx, 2); err != nil {
 		return "", err
 	}
-	leader, err := d.c.Leader(ctx)
+	leader, err := d.cluster.Leader(ctx)
 	if err != nil {
 		return "", err
 	}
 	leader.Process().Kill()
-	live := d.living(leader)
-	d.c.Client.Addresses = []string{d.c.Instances[live].CallerAddress}
+	survivor := d.survivor(leader)
+	d.cluster.Client.Addresses = []string{d.cluster.Instances[survivor].CallerAddress}
 	start := time.Now()
-	res, err := d.c.Client.Publish(ctx, d.c.CompleteBundle(declarations(2)))
+	res, err := d.cluster.Client.Publish(ctx, d.cluster.CompleteBundle(newBundle(2)))
 	if err != nil || res.Code != state.CodeOK {
 		return "", eris.Errorf("publish: %v %s", err, res.Message)
 	}
 	published := time.Since(start)
-	if err := whole(caller.Do(ctx, d.chatRequest(live, 5, "still there?"))); err != nil {
+	if err := checkAnswer(caller.Do(ctx, d.chatRequest(survivor, 5, "still there?"))); err != nil {
 		return "", err
 	}
-	err = whole(caller.Do(ctx, d.dimming(live, caller.NewIdempotencyKey(), `{"lamp":1}`)))
+	err = checkAnswer(caller.Do(ctx, d.dimRequest(survivor, caller.NewIdempotencyKey(), `{"lamp":1}`)))
 	return fmt.Sprintf("leader %s killed; next publish accepted after %d ms", leader.Name, published.Milliseconds()), err
 }
 
-func (d *demo) living(dead *harness.Instance) int {
-	for k, i := range d.c.Instances {
-		if i != dead {
+// survivor returns the index of the first instance other than the given one.
+func (d *demo) survivor(killed *harness.Instance) int {
+	for k, i := range d.cluster.Instances {
+		if i != killed {
 			return k
 		}
 	}
