--- a/ctl/internal/capacity/main.go
+++ b/ctl/internal/capacity/main.go
@@ -1,6 +1,7 @@
-// Command capacity measures how each role's processor time, memory and
-// messages grow with instances, backend servers, customers and changes, by
-// steps on one machine, and prints the slopes that docs/CAPACITY.md uses.
+// Command capacity measures how the processor time, memory and network traffic of each role
+// grow with the number of instances, backend servers, customers and changes. It runs a
+// series of clusters of increasing size on one machine and prints the slopes that
+// docs/CAPACITY.md uses.
 package main
 
 import (
@@ -25,46 +26,46 @@
 )
 
 const (
-	stepLimit = 150 * time.Second
-	// settle lets the news of the start be told to all: each instance's state is
-	// sent some 24 times, eight states to a frame.
-	settle       = 5 * time.Second
-	settlePerOne = 300 * time.Millisecond
+	stepTimeout = 150 * time.Second
+	// settleTime and settleTimePerInstance let the gossip of the start end before the
+	// measurement: each instance's state is sent about 24 times, eight states to a frame.
+	settleTime            = 5 * time.Second
+	settleTimePerInstance = 300 * time.Millisecond
 )
 
-// step is one point of a series.
+// step is the cluster of one measurement of a series.
 type step struct {
 	instances, servers, customers int
 	changesPerSecond              int
 }
 
-// reading is what one role used while idle or while changes came.
-type reading struct {
-	// core is the part of one core in percent.
-	core float64
-	// resident is memory in MiB.
-	resident float64
-	// bytes and frames are sent per second.
-	bytes, frames float64
+// roleUsage is the mean usage of the instances of one role.
+type roleUsage struct {
+	// cpuPercent is the processor time in percent of one core.
+	cpuPercent  float64
+	residentMiB float64
+	// bytesPerSecond and framesPerSecond count what was sent.
+	bytesPerSecond, framesPerSecond float64
 }
 
-// result is a step with its readings by role.
+// result holds the measurements of one step.
 type result struct {
 	step
-	roles map[string]reading
-	// inForce is the median time of a publish until in force everywhere.
-	inForce time.Duration
+	roles map[string]roleUsage
+	// publishTime is the median time from publishing a bundle until it is in force
+	// everywhere.
+	publishTime time.Duration
 }
 
 func main() {
 	logx.Disable()
 	caller.ConfigureTransport()
 	bin := flag.String("bin", "bin", "folder with the binaries")
-	span := flag.Duration("span", 8*time.Second, "how long each step is measured")
-	series := flag.String("series", "instances,servers,customers,changes", "what to grow")
+	duration := flag.Duration("span", 8*time.Second, "how long each step is measured")
+	series := flag.String("series", "instances,servers,customers,changes", "quantities to increase, separated by commas")
 	flag.Parse()
 	for _, name := range strings.Split(*series, ",") {
-		if err := grow(*bin, name, *span); err != nil {
+		if err := runSeries(*bin, name, *duration); err != nil {
 			fmt.Fprintln(os.Stderr, "capacity: failed:", err)
 			os.Exit(1)
 		}
@@ -78,8 +79,8 @@
 	"changes":   {{9, 12, 10, 0}, {9, 12, 10, 5}, {9, 12, 10, 10}},
 }
 
-// abscissa is the quantity that a series grows.
-func abscissa(name string, s step) float64 {
+// seriesValue returns the quantity that a series increases.
+func seriesValue(name string, s step) float64 {
 	switch name {
 	case "instances":
 		return float64(s.instances)
@@ -91,47 +92,47 @@
 	return float64(s.changesPerSecond)
 }
 
-func grow(bin, name string, span time.Duration) error {
+func runSeries(bin, name string, duration time.Duration) error {
 	steps, ok := seriesSteps[name]
 	if !ok {
 		return eris.Errorf("unknown series %q", name)
 	}
 	var results []result
 	for _, s := range steps {
-		r, err := measure(bin, s, span)
+		r, err := measure(bin, s, duration)
 		if err != nil {
 			return eris.Wrapf(err, "%s %+v", name, s)
 		}
 		results = append(results, *r)
 	}
-	print(name, results)
+	printSeries(name, results)
 	return nil
 }
 
-func print(name string, results []result) {
+func printSeries(name string, results []result) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%s\trole\tcore %%\tresident MiB\tsent KB/s\tframes/s\tin force ms\t\n", name)
 	for _, r := range results {
 		for _, role := range roleNames(r.roles) {
 			x := r.roles[role]
-			fmt.Fprintf(w, "%.0f\t%s\t%.2f\t%.1f\t%.2f\t%.1f\t%d\t\n", abscissa(name, r.step), role, x.core, x.resident, x.bytes/1000, x.frames, r.inForce.Milliseconds())
+			fmt.Fprintf(w, "%.0f\t%s\t%.2f\t%.1f\t%.2f\t%.1f\t%d\t\n", seriesValue(name, r.step), role, x.cpuPercent, x.residentMiB, x.bytesPerSecond/1000, x.framesPerSecond, r.publishTime.Milliseconds())
 		}
 	}
 	w.Flush()
 	for _, role := range roleNames(results[0].roles) {
-		var xs, core, mem, sent []float64
+		var xs, cpu, mem, sent []float64
 		for _, r := range results {
-			xs = append(xs, abscissa(name, r.step))
-			core = append(core, r.roles[role].core)
-			mem = append(mem, r.roles[role].resident)
-			sent = append(sent, r.roles[role].bytes/1000)
+			xs = append(xs, seriesValue(name, r.step))
+			cpu = append(cpu, r.roles[role].cpuPercent)
+			mem = append(mem, r.roles[role].residentMiB)
+			sent = append(sent, r.roles[role].bytesPerSecond/1000)
 		}
-		fmt.Printf("  %-10s per one more of %s: %+.4f %% of a core, %+.4f MiB, %+.4f KB/s\n", role, name, slope(xs, core), slope(xs, mem), slope(xs, sent))
+		fmt.Printf("  %-10s per one more of %s: %+.4f %% of a core, %+.4f MiB, %+.4f KB/s\n", role, name, slope(xs, cpu), slope(xs, mem), slope(xs, sent))
 	}
 	fmt.Println()
 }
 
-func roleNames(m map[string]reading) []string {
+func roleNames(m map[string]roleUsage) []string {
 	var out []string
 	for k := range m {
 		out = append(out, k)
@@ -140,7 +141,7 @@
 	return out
 }
 
-// slope fits a line by least squares.
+// slope returns the slope of the least-squares line.
 func slope(xs, ys []float64) float64 {
 	n := float64(len(xs))
 	var sx, sy, sxx, sxy float64
@@ -153,13 +154,13 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-func measure(bin string, s step, span time.Duration) (*result, error) {
+func measure(bin string, s step, duration time.Duration) (*result, error) {
 	dir, err := os.MkdirTemp("", "cardamomwick-capacity-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	ctx, cancel := context.WithTimeout(context.Background(), stepLimit+span)
+	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout+duration)
 	defer cancel()
 	var names []string
 	for n := range s.customers {
@@ -170,30 +171,30 @@
 		return nil, err
 	}
 	defer c.Close()
-	if err := setUp(ctx, c, s); err != nil {
+	if err := startCluster(ctx, c, s); err != nil {
 		return nil, err
 	}
 	r := &result{step: s}
-	if r.inForce, err = publishTimes(ctx, c); err != nil {
+	if r.publishTime, err = medianPublishTime(ctx, c); err != nil {
 		return nil, err
 	}
-	time.Sleep(settle + time.Duration(s.instances)*settlePerOne)
-	before, err := snapshot(c)
+	time.Sleep(settleTime + time.Duration(s.instances)*settleTimePerInstance)
+	before, err := readCounters(c)
 	if err != nil {
 		return nil, err
 	}
-	if err := change(ctx, c, s.changesPerSecond, span); err != nil {
+	if err := applyChanges(ctx, c, s.changesPerSecond, duration); err != nil {
 		return nil, err
 	}
-	after, err := snapshot(c)
+	after, err := readCounters(c)
 	if err != nil {
 		return nil, err
 	}
-	r.roles, err = byRole(ctx, c, before, after)
+	r.roles, err = averageByRole(ctx, c, before, after)
 	return r, err
 }
 
-func declarations(version uint64) *bundle.Bundle {
+func newBundle(version uint64) *bundle.Bundle {
 	second := bundle.Duration(time.Second)
 	class := bundle.Class{Tier: 1, Idempotent: true, FirstTokenTarget: second, Deadline: 10 * second, Order: bundle.QueueFIFO,
 		GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
@@ -201,9 +202,9 @@
 		Pools: map[string]bundle.Pool{"fixtures": {Kind: bundle.PoolService, DefaultClass: "plain"}}}
 }
 
-func setUp(ctx context.Context, c *harness.Cluster, s step) error {
+func startCluster(ctx context.Context, c *harness.Cluster, s step) error {
 	c.Client.Addresses = c.Client.Addresses[:3]
-	if err := c.StartWithBundle(ctx, declarations(1)); err != nil {
+	if err := c.StartWithBundle(ctx, newBundle(1)); err != nil {
 		return err
 	}
 	var cfg fake.Config
@@ -221,13 +222,13 @@
 	return host
 }
 
-// publishTimes publishes a few small changes and returns the median time until
-// all instances act on them.
-func publishTimes(ctx context.Context, c *harness.Cluster) (time.Duration, error) {
+// medianPublishTime publishes a few bundles and returns the median time until each was in
+// force everywhere.
+func medianPublishTime(ctx context.Context, c *harness.Cluster) (time.Duration, error) {
 	var times []time.Duration
 	for v := uint64(2); v <= 6; v++ {
 		start := time.Now()
-		res, err := c.Client.Publish(ctx, c.CompleteBundle(declarations(v)))
+		res, err := c.Client.Publish(ctx, c.CompleteBundle(newBundle(v)))
 		if err != nil || res.Code != state.CodeOK {
 			return 0, eris.Errorf("publish: %v %s", err, res.Message)
 		}
@@ -240,15 +241,16 @@
 	return times[len(times)/2], nil
 }
 
-// change makes a number of small changes a second for the span.
-func change(ctx context.Context, c *harness.Cluster, perSecond int, span time.Duration) error {
+// applyChanges orders a number of small changes per second. It returns after the duration,
+// also if there are none.
+func applyChanges(ctx context.Context, c *harness.Cluster, perSecond int, duration time.Duration) error {
 	if perSecond == 0 {
-		time.Sleep(span)
+		time.Sleep(duration)
 		return nil
 	}
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
-	for end, n := time.Now().Add(span), 0; time.Now().Before(end); n++ {
+	for end, n := time.Now().Add(duration), 0; time.Now().Before(end); n++ {
 		<-ticker.C
 		if _, err := c.Client.Retire(ctx, fmt.Sprintf("gone-%d", n)); err != nil {
 			return err
@@ -257,22 +259,22 @@
 	return nil
 }
 
-// usage is one process at one moment.
-type usage struct {
+// processCounters holds the counters of one process at one time.
+type processCounters struct {
 	at            time.Time
 	cpu           time.Duration
-	resident      float64
+	residentMiB   float64
 	bytes, frames float64
 }
 
-func snapshot(c *harness.Cluster) (map[string]usage, error) {
-	out := map[string]usage{}
+func readCounters(c *harness.Cluster) (map[string]processCounters, error) {
+	out := map[string]processCounters{}
 	for _, i := range c.Instances {
 		used, err := procstat.Read(i.Process().PID())
 		if err != nil {
 			return nil, err
 		}
-		u := usage{at: time.Now(), cpu: used.Processor, resident: float64(used.Resident) / (1 << 20)}
+		u := processCounters{at: time.Now(), cpu: used.Processor, residentMiB: float64(used.Resident) / (1 << 20)}
 		page, err := c.Metrics(i)
 		if err != nil {
 			return nil, err
@@ -283,8 +285,8 @@
 	return out, nil
 }
 
-// byRole averages over the instances of each role.
-func byRole(ctx context.Context, c *harness.Cluster, before, after map[string]usage) (map[string]reading, error) {
+// averageByRole returns the mean usage per role between two readings of the counters.
+func averageByRole(ctx context.Context, c *harness.Cluster, before, after map[string]processCounters) (map[string]roleUsage, error) {
 	leader, err := c.Leader(ctx)
 	if err != nil {
 		return nil, err
@@ -297,7 +299,7 @@
 	if len(servers) > 0 {
 		dispatcher = servers[0].Dispatcher
 	}
-	sums, counts := map[string]reading{}, map[string]float64{}
+	sums, counts := map[string]roleUsage{}, map[string]float64{}
 	for _, i := range c.Instances {
 		role := "entry"
 		switch {
@@ -311,16 +313,16 @@
 		a, b := before[i.Name], after[i.Name]
 		seconds := b.at.Sub(a.at).Seconds()
 		s := sums[role]
-		s.core += 100 * (b.cpu - a.cpu).Seconds() / seconds
-		s.resident += b.resident
-		s.bytes += (b.bytes - a.bytes) / seconds
-		s.frames += (b.frames - a.frames) / seconds
+		s.cpuPercent += 100 * (b.cpu - a.cpu).Seconds() / seconds
+		s.residentMiB += b.residentMiB
+		s.bytesPerSecond += (b.bytes - a.bytes) / seconds
+		s.framesPerSecond += (b.frames - a.frames) / seconds
 		sums[role] = s
 		counts[role]++
 	}
 	for role, n := range counts {
 		s := sums[role]
-		sums[role] = reading{s.core / n, s.resident / n, s.bytes / n, s.frames / n}
+		sums[role] = roleUsage{s.cpuPercent / n, s.residentMiB / n, s.bytesPerSecond / n, s.framesPerSecond / n}
 	}
 	return sums, nil
 }
