--- a/ctl/commands/load.go
+++ b/ctl/commands/load.go
@@ -48,20 +48,20 @@
 	if err != nil {
 		return cli.Exit(err.Error(), ExitInput)
 	}
-	caller.Configure()
+	caller.ConfigureTransport()
 	target := &load.Target{Instances: instances, Keys: keys, Zones: p.Fleet.Zones}
 	arrivals := p.Arrivals(cmd.Int64("seed"))
 	samples := load.Run(ctx, p, target, arrivals, ShowProgress)
 	r := load.NewReport(p, "run", samples)
-	p.Bound(arrivals, r)
-	r.Table(os.Stdout)
+	p.AddUpperBounds(arrivals, r)
+	r.WriteTable(os.Stdout)
 	if file := cmd.String("lines"); file != "" {
 		f, err := os.Create(file)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		if err := r.JSONLines(f); err != nil {
+		if err := r.WriteJSONLines(f); err != nil {
 			return err
 		}
 	}
--- a/ctl/prove/once_test.go
+++ b/ctl/prove/once_test.go
@@ -124,7 +124,7 @@
 func (h *onceHistory) volley(entry int, others []int, calls int, harm func()) {
 	var wg sync.WaitGroup
 	for k := range calls {
-		key := caller.NewKey()
+		key := caller.NewIdempotencyKey()
 		body := fmt.Sprintf(`{"lamp":%d,"key":%q}`, k, key)
 		wg.Go(func() {
 			time.Sleep(time.Duration(rand.Intn(40)) * time.Millisecond)
@@ -151,8 +151,8 @@
 	for range 5 {
 		victim := w.Instances[3]
 		h.volley(3, []int{4, 0}, 30, func() { victim.Process().Kill() })
-		must(t, w.Start(victim))
-		must(t, w.Ready(w.ctx, 1))
+		must(t, w.StartInstance(victim))
+		must(t, w.WaitInstancesReady(w.ctx, 1))
 	}
 	h.settle(time.Second)
 }
@@ -164,8 +164,8 @@
 	for range 4 {
 		l := w.leader()
 		h.volley(3, []int{4, 3}, 30, func() { l.Process().Kill() })
-		must(t, w.Start(l))
-		must(t, w.Ready(w.ctx, 1))
+		must(t, w.StartInstance(l))
+		must(t, w.WaitInstancesReady(w.ctx, 1))
 	}
 	h.settle(time.Second)
 }
@@ -182,7 +182,7 @@
 			time.Sleep(3500 * time.Millisecond)
 			victim.Process().Signal(syscall.SIGCONT)
 		})
-		must(t, w.Ready(w.ctx, 1))
+		must(t, w.WaitInstancesReady(w.ctx, 1))
 	}
 	h.settle(3 * time.Second)
 }
@@ -195,7 +195,7 @@
 	var wg sync.WaitGroup
 	for k := range 24 {
 		kind := []string{"hang", "break", "refuse", "refuse-first"}[k%4]
-		key := caller.NewKey()
+		key := caller.NewIdempotencyKey()
 		body := fmt.Sprintf(`{"fake":%q,"lamp":%d}`, kind, k)
 		wg.Go(func() {
 			r := h.call(k, k%4, key, body)
@@ -229,7 +229,7 @@
 	var mu sync.Mutex
 	accepted := 0
 	for k := range 20 {
-		key := caller.NewKey()
+		key := caller.NewIdempotencyKey()
 		keys = append(keys, key)
 		wg.Go(func() {
 			r := w.call(3, "sync", key, fmt.Sprintf(`{"panel":%d,"delay_ms":1500}`, k))
--- a/ctl/prove/streams_test.go
+++ b/ctl/prove/streams_test.go
@@ -26,9 +26,9 @@
 	for k := range 6 {
 		time.Sleep(900 * time.Millisecond)
 		id := fmt.Sprintf("e%d", 1+k%4)
-		must(t, w.Steer(fake.Steer{Engine: id, Down: true}))
+		must(t, w.AdjustEngine(fake.EngineAdjustment{Engine: id, Down: true}))
 		time.Sleep(600 * time.Millisecond)
-		must(t, w.Steer(fake.Steer{Engine: id}))
+		must(t, w.AdjustEngine(fake.EngineAdjustment{Engine: id}))
 	}
 	list := f.end()
 	wrong, notWhole := 0, 0
@@ -51,7 +51,7 @@
 // capacity. None of it is refused or cut for a lower one, and every class runs.
 func TestTopTierInBurst(t *testing.T) {
 	w := begin(t, 4, 2)
-	before, err := w.FakeState()
+	before, err := w.FakeServerState()
 	must(t, err)
 	var low []*flow
 	for _, class := range []string{"scene", "summary"} {
@@ -82,11 +82,11 @@
 			t.Fatalf("a call of the top tier: %v", err)
 		}
 	}
-	after, err := w.FakeState()
+	after, err := w.FakeServerState()
 	must(t, err)
 	cancelled := int64(0)
 	for id, e := range after.Engines {
-		cancelled += e.Cancelled - before.Engines[id].Cancelled
+		cancelled += e.CancelledTokens - before.Engines[id].CancelledTokens
 	}
 	t.Logf("top tier %d of %d whole; lower classes completed meanwhile: %v; tokens cancelled at engines %d", len(top), len(top), completed, cancelled)
 	if completed["scene"] == 0 || completed["summary"] == 0 {
@@ -99,9 +99,9 @@
 
 // lastStart returns when a server last got new work.
 func (w *world) lastStart(id string) time.Time {
-	st, err := w.FakeState()
+	st, err := w.FakeServerState()
 	must(w.t, err)
-	return st.LastStart[id]
+	return st.LastNewRequest[id]
 }
 
 // retireUnderLoad retires e1 while calls flow, with a disturbance, and returns
@@ -165,7 +165,7 @@
 	pick := func() string {
 		for {
 			i := w.Instances[int(next.Add(1))%5]
-			if list, err := caller.Addresses(w.ctx, i.Caller, i.Zone); err == nil && len(list.Addresses) > 0 {
+			if list, err := caller.FetchAddresses(w.ctx, i.CallerAddress, i.Zone); err == nil && len(list.Addresses) > 0 {
 				return list.Addresses[0]
 			}
 		}
@@ -176,7 +176,7 @@
 			output = longScene
 		}
 		return caller.Do(w.ctx, &caller.Request{Address: pick(), Customer: w.CustomerKeys["villa"], Class: "scene", Model: "lumen",
-			Prompt: []string{fmt.Sprintf("%d %d", worker, n)}, Output: output, Stream: true})
+			Prompt: []string{fmt.Sprintf("%d %d", worker, n)}, OutputTokens: output, Stream: true})
 	})
 	time.Sleep(time.Second)
 	for _, k := range []int{4, w.index(w.leader()), 3} {
@@ -186,8 +186,8 @@
 			t.Fatalf("%s: %v", i.Name, err)
 		}
 		t.Logf("%s ended with exit code 0 after %d ms", i.Name, time.Since(start).Milliseconds())
-		must(t, w.Start(i))
-		must(t, w.Ready(w.ctx, 1))
+		must(t, w.StartInstance(i))
+		must(t, w.WaitInstancesReady(w.ctx, 1))
 	}
 	list := f.end()
 	for _, r := range list {
