--- a/daemon/routed.go
+++ b/daemon/routed.go
@@ -273,7 +273,7 @@
 	cutOff := began.Add(time.Duration(drainShare * float64(d.settings.Tuned().DrainTimeout)))
 	log.WithField("in_flight", d.router.InFlight()).Info("draining")
 	time.Sleep(staleTTLs * d.TTL())
-	d.router.Close(cutOff)
+	d.router.Drain(cutOff)
 	quiet := time.Now().Add(d.TTL())
 	for time.Now().Before(cutOff) && (time.Now().Before(quiet) || d.router.InFlight() > 0) {
 		time.Sleep(drainPoll)
--- a/daemon/routed_metrics.go
+++ b/daemon/routed_metrics.go
@@ -82,7 +82,7 @@
 	if d.router == nil {
 		return
 	}
-	for pool, list := range d.router.Beliefs() {
+	for pool, list := range d.router.ServerStates() {
 		for _, b := range list {
 			labels := fmt.Sprintf("{pool=%q,server=%q}", pool, b.ID)
 			fmt.Fprintf(w, "cardamomwick_server_running%s %d\n", labels, b.Load.Running)
--- a/daemon/routed_pages.go
+++ b/daemon/routed_pages.go
@@ -80,7 +80,7 @@
 // limitsPage lists the servers that have named request limits.
 func (d *Routed) limitsPage(w http.ResponseWriter, _ *http.Request) {
 	page := api.LimitsPage{Limits: []api.ServerLimit{}, Waiting: d.router.WaitingForLimits()}
-	for pool, list := range d.router.Beliefs() {
+	for pool, list := range d.router.ServerStates() {
 		for _, b := range list {
 			if b.Limit.Limited {
 				page.Limits = append(page.Limits, api.ServerLimit{Pool: pool, Server: b.ID, PerSecond: b.Limit.PerSecond,
--- a/daemon/router/admission.go
+++ b/daemon/router/admission.go
@@ -8,32 +8,33 @@
 	"cardamomwick.example/core/routing"
 )
 
-// Limits of the time after which a refused caller may come back.
+// Bounds on the Retry-After of a refused call.
 const (
-	// leastComeBack is the least, two exchanges of load counts.
-	leastComeBack = 200 * time.Millisecond
-	// comeBackSpread of the time to room is added by lot, so that not all come back
-	// at once.
-	comeBackSpread = 0.5
+	// minRetryAfter spans two exchanges of load counts.
+	minRetryAfter = 200 * time.Millisecond
+	// retryAfterJitter is the largest random addition, as a fraction of the expected
+	// wait, so that refused callers don't all retry at once.
+	retryAfterJitter = 0.5
 )
 
-// admitted forecasts the call and reports whether it is taken.
-func (c *call) admitted() bool {
+// admit forecasts the call's latency and reports whether it is accepted. For a
+// refused call it sets retryAfter.
+func (c *call) admit() bool {
 	r := c.router
 	r.mu.Lock()
-	c.forecast = r.balancer.Forecast(time.Now(), c.pool.Name, c.size, time.Until(c.arrived.Add(c.route.EventTimeout())), time.Until(c.until))
+	c.forecast = r.balancer.Forecast(time.Now(), c.pool.Name, c.size, time.Until(c.arrived.Add(c.route.EventTimeout())), time.Until(c.deadline))
 	r.mu.Unlock()
 	if c.forecast.Admission != balance.Infeasible {
 		return true
 	}
-	room := max(leastComeBack, c.forecast.RetryAfter)
-	c.comeBack = room + time.Duration(comeBackSpread*rand.Float64()*float64(room))
+	wait := max(minRetryAfter, c.forecast.RetryAfter)
+	c.retryAfter = wait + time.Duration(retryAfterJitter*rand.Float64()*float64(wait))
 	return false
 }
 
-// urgency ranks the call for waiting at a model engine. One that has lost its
-// target goes behind all that can still be in time.
-func (c *call) urgency() int {
+// priority returns the call's priority in a model engine's queue. A call that is
+// expected to miss its target gets the lowest, behind all that can still meet theirs.
+func (c *call) priority() int {
 	if c.forecast.Admission == balance.Late {
 		return routing.LowestPriority
 	}
--- a/daemon/router/answer.go
+++ b/daemon/router/answer.go
@@ -13,31 +13,31 @@
 	"cardamomwick.example/daemon/upstream"
 )
 
-// maxAnswer bounds a plain answer's body.
-const maxAnswer = 8 << 20
+// maxAnswerBytes bounds the body of an answer that is not a stream.
+const maxAnswerBytes = 8 << 20
 
-// pass passes a server's answer on, or says why there is none to pass on.
-func (c *call) pass(ctx context.Context, s fleet.Server, resp *upstream.Response) verdict {
+// forward sends a server's answer to the caller, or reports why it can't be used.
+func (c *call) forward(ctx context.Context, s fleet.Server, resp *upstream.Response) attemptResult {
 	if resp.Answer.WrongServer || resp.Answer.NotRun {
-		return c.noteRefusal(s, resp)
+		return c.recordRefusal(s, resp)
 	}
 	c.runs++
 	success := resp.Status >= 200 && resp.Status < 300
-	if success && (!resp.Answer.Signed || resp.Answer.CallID != c.said.ID || resp.Header.Get("Content-Encoding") != "") {
+	if success && (!resp.Answer.Signed || resp.Answer.CallID != c.info.ID || resp.Header.Get("Content-Encoding") != "") {
 		c.last = &upstream.Error{Sent: true, Step: "check answer", Server: s.ID, Err: errors.New("the answer is not this call's")}
-		c.router.bad(s.ID, false)
+		c.router.recordFailure(s.ID, false)
 		return failed
 	}
 	if success && c.route.Semantics == routing.Stream {
-		return c.passStream(ctx, s, resp)
+		return c.forwardStream(ctx, s, resp)
 	}
-	return c.passWhole(ctx, s, resp)
+	return c.forwardComplete(ctx, s, resp)
 }
 
-func (c *call) noteRefusal(s fleet.Server, resp *upstream.Response) verdict {
+func (c *call) recordRefusal(s fleet.Server, resp *upstream.Response) attemptResult {
 	c.refusals++
 	c.last = &upstream.Error{Step: "offer", Server: s.ID, Err: errRefused}
-	_, _ = io.Copy(io.Discard, resp.Body) // only to keep the connection; a broken one is closed
+	_, _ = io.Copy(io.Discard, resp.Body) // drained so that the connection can be reused; on an error it is closed
 	r := c.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,37 +52,37 @@
 
 var errRefused = errors.New("the server did not run the call")
 
-// countRun counts the attempt for its customer, as a run that began some time ago.
+// countRun counts the attempt in its customer's usage, as a run that began the given time ago.
 func (c *call) countRun(ago time.Duration) {
 	if c.customer != nil {
 		c.router.opt.Usage.Began(c.customer.Name, ago)
 	}
 }
 
-// passWhole passes a whole answer on, once all of it is there.
-func (c *call) passWhole(ctx context.Context, s fleet.Server, resp *upstream.Response) verdict {
+// forwardComplete reads the whole answer and then sends it to the caller.
+func (c *call) forwardComplete(ctx context.Context, s fleet.Server, resp *upstream.Response) attemptResult {
 	if c.route.Semantics != routing.Stream {
-		c.countRun(time.Since(c.began))
+		c.countRun(time.Since(c.attemptStart))
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		c.last = &upstream.Error{Sent: true, Reached: true, Step: "read answer", Server: s.ID, Err: err}
-		c.noteBroken(ctx, s, c.last)
-		if time.Now().Before(c.until) && c.req.Context().Err() == nil {
-			c.router.bad(s.ID, false)
+		c.reportBroken(ctx, s, c.last)
+		if time.Now().Before(c.deadline) && c.req.Context().Err() == nil {
+			c.router.recordFailure(s.ID, false)
 		}
 		return failed
 	}
 	serverFailed := resp.Status >= http.StatusInternalServerError
 	if serverFailed {
-		c.router.bad(s.ID, false)
-		if c.mayTryAgain(failed) {
-			c.paid = true
+		c.router.recordFailure(s.ID, false)
+		if c.mayRetry(failed) {
+			c.retryReserved = true
 			return failed
 		}
 	} else {
-		c.router.good(s.ID)
-		c.noteSuccess(s)
+		c.router.recordSuccess(s.ID)
+		c.reportSuccess(s)
 	}
 	if c.stream != nil && c.stream.started {
 		return failed
@@ -91,7 +91,7 @@
 	c.w.Header()["Content-Length"] = []string{strconv.Itoa(len(body))}
 	c.w.WriteHeader(resp.Status)
 	if _, err := c.w.Write(body); err != nil {
-		c.logEnd("caller left during the answer")
+		c.logInfo("caller left during the answer")
 	}
 	c.logAnswer(s, resp.Status)
 	return answered
--- a/daemon/router/attempts.go
+++ b/daemon/router/attempts.go
@@ -8,21 +8,21 @@
 	"cardamomwick.example/core/fleet"
 )
 
-// errStartedAgain ends the attempts at a server that has started again.
-var errStartedAgain = errors.New("the server has started again")
+// errServerRestarted is the cancellation cause of attempts at a server that has restarted.
+var errServerRestarted = errors.New("the server has started again")
 
-// attempts holds what is in flight by server. A server that has started again
-// knows nothing of its former calls: waiting for their answers, on connections
-// that may never be reset, would use up the time in which another server can
-// answer. Safe for concurrent use.
-type attempts struct {
+// attemptTracker holds the attempts in flight by server ID. A restarted server has
+// lost its earlier calls. Waiting for their answers, on connections that may never be
+// reset, would use up the time in which another server can answer. Safe for
+// concurrent use.
+type attemptTracker struct {
 	mu       sync.Mutex
 	next     int
 	byServer map[string]map[int]context.CancelCauseFunc
 }
 
-// add notes an attempt; call the result when it is over.
-func (a *attempts) add(server string, end context.CancelCauseFunc) (done func()) {
+// add registers an attempt; the caller must call done when the attempt has ended.
+func (a *attemptTracker) add(server string, cancel context.CancelCauseFunc) (done func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.byServer == nil {
@@ -33,7 +33,7 @@
 	}
 	a.next++
 	id := a.next
-	a.byServer[server][id] = end
+	a.byServer[server][id] = cancel
 	return func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -44,35 +44,35 @@
 	}
 }
 
-// endAt ends the attempts at a start of a server and returns how many there were.
-func (a *attempts) endAt(server string) int {
+// cancelAll cancels the attempts at the server with this ID and returns their number.
+func (a *attemptTracker) cancelAll(server string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, end := range a.byServer[server] {
-		end(errStartedAgain)
+	for _, cancel := range a.byServer[server] {
+		cancel(errServerRestarted)
 	}
 	return len(a.byServer[server])
 }
 
-// superseded lists the starts that newer ones of the same servers have followed. Both lists
-// are sorted by ID.
+// superseded returns the entries of before whose server has started again in now.
+// Both lists are sorted by ID, which is distinct for each start of a server.
 func superseded(before, now []fleet.Server) []fleet.Server {
-	born := map[string]int64{} // of the starts that are new
+	restartedAt := map[string]int64{} // start time by stable name, for IDs that only now has
 	rest := before
 	for _, s := range now {
 		for len(rest) > 0 && rest[0].ID < s.ID {
 			rest = rest[1:]
 		}
 		if len(rest) == 0 || rest[0].ID != s.ID {
-			born[s.StableName()] = max(born[s.StableName()], s.StartedAt)
+			restartedAt[s.StableName()] = max(restartedAt[s.StableName()], s.StartedAt)
 		}
 	}
-	if len(born) == 0 {
+	if len(restartedAt) == 0 {
 		return nil
 	}
 	var out []fleet.Server
 	for _, s := range before {
-		if s.StartedAt < born[s.StableName()] {
+		if s.StartedAt < restartedAt[s.StableName()] {
 			out = append(out, s)
 		}
 	}
--- a/daemon/router/attempts_test.go
+++ b/daemon/router/attempts_test.go
@@ -8,20 +8,20 @@
 	"cardamomwick.example/core/fleet"
 )
 
-// A server is lost without a reset and starts again under its name: its calls go
-// elsewhere at once instead of waiting on connections that nobody answers.
-func TestCallsAtAFormerStartEndAtOnce(t *testing.T) {
+// A server is lost without a connection reset and restarts under its name. Its calls
+// must go to another server at once instead of waiting on the dead connections.
+func TestCallsAtARestartedServerEndAtOnce(t *testing.T) {
 	silent := make(chan struct{})
 	arrived := make(chan struct{}, 1)
-	mute := func(http.ResponseWriter, *http.Request) {
+	silentServer := func(http.ResponseWriter, *http.Request) {
 		arrived <- struct{}{}
 		<-silent
 	}
-	w := newWorld(t, mute)
-	t.Cleanup(func() { close(silent) }) // before the server is closed, which waits for it
+	w := newHarness(t, silentServer)
+	t.Cleanup(func() { close(silent) }) // runs before the server's Close, which waits for its handlers
 	w.fleet[0].Name, w.fleet[0].StartedAt, w.fleet[0].ID = "s", 100, "s@100"
 	w.router.SetFleet(w.fleet)
-	spare := newWorld(t, good)
+	spare := newHarness(t, good)
 	answered := make(chan reply, 1)
 	start := time.Now()
 	go func() { answered <- w.call("/safe/x") }()
@@ -33,26 +33,26 @@
 	if got.status != http.StatusOK || got.body != "done" {
 		t.Errorf("got %d %q, %v", got.status, got.body, got.err)
 	}
-	if took := time.Since(start); took > leastSilence {
-		t.Errorf("the call waited %v for a start that was over", took)
+	if took := time.Since(start); took > minSilenceTimeout {
+		t.Errorf("the call waited %v for a server that had restarted", took)
 	}
 }
 
-// Nothing of a former start is held against the next one.
-func TestNewStartBeginsWithoutBeliefs(t *testing.T) {
-	w := newWorld(t, good)
+// Failures and load of a server before its restart don't count after it.
+func TestRestartedServerBeginsWithCleanState(t *testing.T) {
+	w := newHarness(t, good)
 	former := w.fleet[0]
 	former.Name, former.StartedAt, former.ID = "s", 100, "s@100"
 	w.router.SetFleet([]fleet.Server{former})
 	for range 5 {
-		w.router.bad(former.ID, true)
+		w.router.recordFailure(former.ID, true)
 	}
 	next := former
 	next.StartedAt, next.ID = 200, "s@200"
 	w.router.SetFleet([]fleet.Server{next})
 	for _, b := range w.router.balancer.ServerStates(time.Now(), "p") {
 		if b.ID != next.ID || b.Failures != 0 || b.Load.Running != 0 {
-			t.Errorf("believed of the new start: %+v", b)
+			t.Errorf("state after the restart: %+v", b)
 		}
 	}
 	if got := w.call("/safe/x"); got.status != http.StatusOK {
--- a/daemon/router/call.go
+++ b/daemon/router/call.go
@@ -14,122 +14,123 @@
 	"cardamomwick.example/daemon/upstream"
 )
 
-// mostPause and pauseShare (of the target) bound the wait before a second attempt: two
-// exchanges of load counts, and never much of the target.
+// maxBackoff, two exchanges of load counts, and backoffShare, a fraction of the target
+// latency, bound the random wait before another attempt.
 const (
-	mostPause  = 200 * time.Millisecond
-	pauseShare = 0.15
+	maxBackoff   = 200 * time.Millisecond
+	backoffShare = 0.15
 )
 
-// call is one attempt of a caller, from its arrival to its final answer.
+// call is one request of a caller, from its arrival to its final answer. The router may
+// make several attempts at servers for it.
 type call struct {
 	router   *Router
 	w        http.ResponseWriter
 	req      *http.Request
 	arrived  time.Time
-	said     upstream.Call
+	info     upstream.Call
 	body     []byte
 	route    *routing.Route
 	customer *routing.Customer
 	pool     *routing.Pool
-	// version is that of the declaration that decided.
-	version uint64
-	until   time.Time
-	// size is what placement knows of the call, the same for all attempts.
+	// version is the version of the declaration that the call was routed by.
+	version  uint64
+	deadline time.Time
+	// size describes the call to the balancer, the same for all attempts.
 	size balance.Call
 
 	// runs counts the attempts that may have run, refusals those that certainly
-	// have not.
+	// did not.
 	runs     int
 	refusals int
 	tried    []string
 	ticket   balance.Ticket
 	choice   balance.Choice
-	dog      *watchdog
-	// forecast is what was expected of the call when it came.
+	watchdog *watchdog
+	// forecast is the latency forecast made on arrival.
 	forecast balance.Forecast
-	// comeBack is when the caller may come back after a refusal; zero for the
-	// usual pause.
-	comeBack time.Duration
-	// waited is how long the call waited for servers that had named request limits.
+	// retryAfter is sent with a refusal; zero selects the default.
+	retryAfter time.Duration
+	// waited is how long the call waited for servers with request limits.
 	waited time.Duration
-	// paid: the next attempt is already taken from the retry budget.
-	paid   bool
-	stream *stream
-	last   *upstream.Error
-	// began is when the last attempt began.
-	began time.Time
-	// identity is the request's digest; nil until it is asked for.
+	// retryReserved is set when the next attempt is already taken from the retry budget.
+	retryReserved bool
+	stream        *streamState
+	last          *upstream.Error
+	// attemptStart is when the last attempt began.
+	attemptStart time.Time
+	// identity caches the result of digest.
 	identity *quarantine.Digest
 }
 
-// verdict tells how an attempt ended.
-type verdict uint8
+// attemptResult is how an attempt ended.
+type attemptResult uint8
 
 const (
 	// answered: the caller has its final answer.
-	answered verdict = iota
-	// notRun: the server certainly has not run the call.
+	answered attemptResult = iota
+	// notRun: the server certainly did not run the call.
 	notRun
-	// failed: the call may have run and there is no answer to pass on.
+	// failed: the call may have run, and there is no answer to forward.
 	failed
-	// gone: the caller has left.
-	gone
+	// callerGone: the caller has disconnected.
+	callerGone
 )
 
 func (c *call) serve() {
-	c.until = c.arrived.Add(c.route.Timeout)
-	if c.said.Patience > 0 {
-		c.until = minTime(c.until, c.arrived.Add(c.said.Patience))
+	c.deadline = c.arrived.Add(c.route.Timeout)
+	if c.info.Patience > 0 {
+		c.deadline = minTime(c.deadline, c.arrived.Add(c.info.Patience))
 	}
-	ctx, cancel := context.WithDeadline(c.req.Context(), c.until)
+	ctx, cancel := context.WithDeadline(c.req.Context(), c.deadline)
 	defer cancel()
-	// A call is forgotten with its final answer: without this, the repeats of one that
-	// ends its servers end one after the other, with the calls of everybody else there.
-	if c.keptBack() {
+	// No state of a call remains after its final answer. Without this check, retries by
+	// the caller of a request that crashes servers would crash them one after another,
+	// together with all other calls in flight there.
+	if c.refuseQuarantined() {
 		return
 	}
 	c.size = c.placement()
-	c.router.arrive(c)
-	if !c.admitted() {
+	c.router.recordArrival(c)
+	if !c.admit() {
 		c.giveUp("can't be answered in time")
 		return
 	}
 	for {
-		server, ok := c.server(ctx)
+		server, ok := c.acquireServer(ctx)
 		if !ok {
 			return
 		}
-		v := c.attempt(ctx, server.Server)
-		if v == answered {
+		result := c.attempt(ctx, server.Server)
+		if result == answered {
 			return
 		}
 		if c.req.Context().Err() != nil {
 			c.logCallerLeft(server.Server)
 			panic(http.ErrAbortHandler)
 		}
-		if !c.mayTryAgain(v) {
+		if !c.mayRetry(result) {
 			c.giveUp("attempts used up")
 			return
 		}
-		if v == failed && !(c.pause(ctx) && c.router.opt.Quarantine.AwaitRuling(ctx, c.digest)) {
+		if result == failed && !(c.backoff(ctx) && c.router.opt.Quarantine.AwaitRuling(ctx, c.digest)) {
 			c.giveUp("time is over")
 			return
 		}
-		// The servers that ended under the attempts before count too.
-		if c.keptBack() {
+		// The request may have been quarantined for crashes during its earlier attempts.
+		if c.refuseQuarantined() {
 			return
 		}
 	}
 }
 
-// pause waits a little before a second attempt. When a server dies, all its
-// calls come back at once, and every instance would place them by the same
-// counts.
-func (c *call) pause(ctx context.Context) bool {
-	most := min(mostPause, time.Duration(pauseShare*float64(c.route.TargetLatency)))
+// backoff waits a short random time before another attempt, and returns false if the
+// context ends. When a server dies, all its calls are retried at once, and without
+// the wait every instance would place them by the same load counts.
+func (c *call) backoff(ctx context.Context) bool {
+	limit := min(maxBackoff, time.Duration(backoffShare*float64(c.route.TargetLatency)))
 	select {
-	case <-time.After(time.Duration(rand.Float64() * float64(most))):
+	case <-time.After(time.Duration(rand.Float64() * float64(limit))):
 		return true
 	case <-ctx.Done():
 		return false
@@ -143,9 +144,9 @@
 	return b
 }
 
-// placement returns what placement needs to know of the call.
+// placement describes the call to the balancer.
 func (c *call) placement() balance.Call {
-	p := &c.said.Prompt
+	p := &c.info.Prompt
 	out := balance.Call{Tokens: p.Tokens, Unshared: p.Tokens, MaxOutput: p.MaxOutput, Target: c.route.TargetLatency, Gap: c.route.TargetGap, Tier: c.route.Tier}
 	if n := len(p.Parts); n > 0 {
 		out.Unshared = p.Parts[n-1].Tokens
@@ -159,7 +160,7 @@
 	return out
 }
 
-func (r *Router) arrive(c *call) {
+func (r *Router) recordArrival(c *call) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,36 +168,37 @@
 	r.budget(c.pool.Name).RecordAttempt(now)
 }
 
-// attempt sends the call to one server and passes its answer on.
-func (c *call) attempt(ctx context.Context, s fleet.Server) verdict {
+// attempt makes one attempt at a server, under the watchdog and the attempt tracker.
+func (c *call) attempt(ctx context.Context, s fleet.Server) attemptResult {
 	c.tried = append(c.tried, s.ID)
-	defer c.router.end(c)
-	ctx, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	defer c.router.attempts.add(s.ID, end)()
-	c.began = time.Now()
-	c.dog = c.watch(func() { end(nil) })
-	v := c.send(ctx, s)
-	if c.dog.stop() && v == failed {
-		c.paid = true
+	defer c.router.endAttempt(c)
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	defer c.router.attempts.add(s.ID, cancel)()
+	c.attemptStart = time.Now()
+	c.watchdog = c.startWatchdog(func() { cancel(nil) })
+	result := c.send(ctx, s)
+	if c.watchdog.stop() && result == failed {
+		c.retryReserved = true
 	}
-	return v
+	return result
 }
 
-// send sends the call and passes the answer on.
-func (c *call) send(ctx context.Context, s fleet.Server) verdict {
+// send sends the call and forwards the answer.
+func (c *call) send(ctx context.Context, s fleet.Server) attemptResult {
 	target := c.router.target(s, c.pool.MaxConnections)
 	resp, err := c.router.upstream.Send(ctx, target, c.request(s))
 	if err != nil {
-		return c.noteError(ctx, s, err)
+		return c.recordError(ctx, s, err)
 	}
 	defer resp.Close()
-	c.noteLimit(s, resp.Answer)
-	return c.pass(ctx, s, resp)
+	c.recordLimit(s, resp.Answer)
+	return c.forward(ctx, s, resp)
 }
 
-// target gives this instance its part of the connections that a server takes from all. Where
-// there are fewer of them than instances, each may open one for a call, but keep none.
+// target returns the server with this instance's share of the connections that the server
+// accepts from all instances. Where there are fewer connections than instances, each
+// instance may open one for a call but keeps none.
 func (r *Router) target(s fleet.Server, maxConnections int) upstream.Target {
 	t := upstream.Target{ID: s.ID, Address: s.Address}
 	if maxConnections > 0 {
@@ -206,30 +208,30 @@
 	return t
 }
 
-func (r *Router) end(c *call) {
+func (r *Router) endAttempt(c *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.End(c.ticket)
 }
 
-// began notes that the server has read the call's prompt.
-func (r *Router) began(c *call) {
+// recordFirstEvent tells the balancer that the server has read the call's prompt.
+func (r *Router) recordFirstEvent(c *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.RecordFirstEvent(time.Now(), &c.ticket)
 }
 
-func (c *call) noteError(ctx context.Context, s fleet.Server, err error) verdict {
+func (c *call) recordError(ctx context.Context, s fleet.Server, err error) attemptResult {
 	var e *upstream.Error
 	if !errors.As(err, &e) {
 		e = &upstream.Error{Sent: true, Step: "send", Server: s.ID, Err: err}
 	}
 	c.last = e
-	c.noteBroken(ctx, s, e)
+	c.reportBroken(ctx, s, e)
 	callerLeft := c.req.Context().Err() != nil
-	inTime := time.Now().Before(c.until)
+	inTime := time.Now().Before(c.deadline)
 	if !errors.Is(e.Err, upstream.ErrConnections) && !callerLeft && inTime {
-		c.router.bad(s.ID, !c.dog.hasFired())
+		c.router.recordFailure(s.ID, !c.watchdog.hasFired())
 	}
 	if e.Sent {
 		c.runs++
@@ -239,13 +241,13 @@
 	return notRun
 }
 
-func (r *Router) bad(id string, unreachable bool) {
+func (r *Router) recordFailure(id string, unreachable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.RecordFailure(time.Now(), id, unreachable)
 }
 
-func (r *Router) good(id string) {
+func (r *Router) recordSuccess(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.RecordSuccess(time.Now(), id)
--- a/daemon/router/calllog.go
+++ b/daemon/router/calllog.go
@@ -24,10 +24,10 @@
 	c.count(status, reason, 0)
 }
 
-// logAnswer says how a call was answered by a server.
+// logAnswer logs and counts a call that a server has answered.
 func (c *call) logAnswer(s fleet.Server, status int) {
 	first := time.Since(c.arrived)
-	f := log.Fields{"status": status, "server": s.ID, "ahead_tokens": int(c.ticket.Ahead()), "tokens": c.said.Prompt.Tokens,
+	f := log.Fields{"status": status, "server": s.ID, "ahead_tokens": int(c.ticket.Ahead()), "tokens": c.info.Prompt.Tokens,
 		"rank": c.choice.Rank, "loss": rounded(c.choice.Loss)}
 	if c.stream != nil && c.stream.events > 0 {
 		first = c.stream.first.Sub(c.arrived)
@@ -42,10 +42,10 @@
 	c.count(status, "", first)
 }
 
-// rounded keeps logged fractions short.
+// rounded rounds a logged value to two decimals.
 func rounded(x float64) float64 { return math.Round(x*100) / 100 }
 
-// answeredField marks the lines that may be dropped first.
+// answeredField marks the log lines that may be dropped first under load.
 const answeredField = "answered"
 
 // count adds the call to the metrics.
@@ -61,7 +61,7 @@
 }
 
 func (c *call) logCallerLeft(s fleet.Server) {
-	f := log.Fields{"server": s.ID, "ahead_tokens": int(c.ticket.Ahead()), "tokens": c.said.Prompt.Tokens}
+	f := log.Fields{"server": s.ID, "ahead_tokens": int(c.ticket.Ahead()), "tokens": c.info.Prompt.Tokens}
 	if c.stream != nil {
 		f["events"] = c.stream.events
 	}
@@ -69,10 +69,10 @@
 	c.count(0, "caller left", 0)
 }
 
-func (c *call) logEnd(what string) { c.logEntry().Info(what) }
+func (c *call) logInfo(message string) { c.logEntry().Info(message) }
 
 func (c *call) logEntry() *log.Entry {
-	f := log.Fields{"call": c.said.ID, "runs": c.runs, "refusals": c.refusals, "after_ms": time.Since(c.arrived).Milliseconds(), "tried": c.tried}
+	f := log.Fields{"call": c.info.ID, "runs": c.runs, "refusals": c.refusals, "after_ms": time.Since(c.arrived).Milliseconds(), "tried": c.tried}
 	if c.route != nil {
 		f["route"] = c.route.Name
 		f["declaration"] = c.version
--- a/daemon/router/exchange.go
+++ b/daemon/router/exchange.go
@@ -14,11 +14,11 @@
 	"cardamomwick.example/daemon/frame"
 )
 
-// methodCounts carries counts between two entries; see package counts.
+// methodCounts is the frame method for load counts; see package counts.
 const methodCounts = "router.counts"
 
-// Exchange tells the other entries this one's counts and takes theirs, by the
-// plan of package collect. It is a suture service.
+// Exchange sends this entry's load counts to other entries and receives theirs,
+// following the plan of package collect. It is a suture service.
 type Exchange struct {
 	router    *Router
 	transport *frame.Transport
@@ -27,11 +27,11 @@
 
 	mu       sync.Mutex
 	reporter collect.Reporter
-	// collector is the address last reported to.
+	// collector is the address of the entry that was last reported to.
 	collector string
 }
 
-// NewExchange registers the frame handlers; entries lists all that take calls.
+// NewExchange registers the frame handler; entries returns all entries that serve callers.
 func NewExchange(r *Router, t *frame.Transport, self collect.Member, entries func() []collect.Member) *Exchange {
 	x := &Exchange{router: r, transport: t, self: self, entries: entries}
 	t.HandleOneWay(methodCounts, x.handle)
@@ -41,12 +41,12 @@
 // String names the service in the supervisor's log.
 func (x *Exchange) String() string { return "load exchange" }
 
-// Serve sends counts until the context ends.
+// Serve sends load counts periodically until the context ends.
 func (x *Exchange) Serve(ctx context.Context) error {
 	for {
 		plan := collect.NewPlan(x.self, x.entries())
-		x.tell(time.Now(), plan)
-		x.router.logMoves()
+		x.send(time.Now(), plan)
+		x.router.logBoundaryMoves()
 		x.router.logLimits()
 		select {
 		case <-ctx.Done():
@@ -56,38 +56,38 @@
 	}
 }
 
-// tell sends this entry's counts and those of the entries below it.
-func (x *Exchange) tell(now time.Time, plan collect.Plan) {
+// send sends this entry's counts, with those reported to it, as the plan requires.
+func (x *Exchange) send(now time.Time, plan collect.Plan) {
 	for _, m := range x.messages(now, plan) {
-		_ = x.transport.Send(m.to.Address, methodCounts, &m.Message) // a lost one is noticed by its receiver
+		_ = x.transport.Send(m.to.Address, methodCounts, &m.Message) // the receiver detects a lost message
 	}
 }
 
-// addressed is a message with its receiver.
-type addressed struct {
+// outgoingMessage is a message and its receiver.
+type outgoingMessage struct {
 	counts.Message
 	to collect.Member
 }
 
-func (x *Exchange) messages(now time.Time, plan collect.Plan) []addressed {
-	collector, reports := x.pick(now, plan)
+func (x *Exchange) messages(now time.Time, plan collect.Plan) []outgoingMessage {
+	collector, hasCollector := x.pickCollector(now, plan)
 	r := x.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.SetLevel(plan.Level)
 	r.balancer.SetInstances(r.opt.Entries())
 	r.balancer.DropSilentPeers(now)
-	var out []addressed
+	var out []outgoingMessage
 	for _, peer := range plan.Peers {
-		out = append(out, addressed{r.balancer.SumTo(now, peer.Name), peer})
+		out = append(out, outgoingMessage{r.balancer.SumTo(now, peer.Name), peer})
 	}
-	if reports {
-		out = append(out, addressed{r.balancer.ReportTo(now, collector.Name), collector})
+	if hasCollector {
+		out = append(out, outgoingMessage{r.balancer.ReportTo(now, collector.Name), collector})
 	}
 	return out
 }
 
-// Demands returns the demand for the pools that servers can be ordered for, where this
+// Demands returns the demand of each model pool with scaling. It returns nil unless this
 // instance knows the load of all others.
 func (r *Router) Demands() []capacity.Demand {
 	table := r.opt.Table()
@@ -106,7 +106,7 @@
 	return out
 }
 
-func (x *Exchange) pick(now time.Time, plan collect.Plan) (collect.Member, bool) {
+func (x *Exchange) pickCollector(now time.Time, plan collect.Plan) (collect.Member, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	c, ok := x.reporter.Pick(now, plan)
@@ -129,13 +129,13 @@
 		x.reporter.RecordAnswer(now)
 		x.mu.Unlock()
 	}
-	if answer, asked := x.router.takeCounts(now, &m); asked {
-		_ = x.transport.Send(from, methodCounts, &answer) // a lost one is noticed by its receiver
+	if answer, asked := x.router.receiveCounts(now, &m); asked {
+		_ = x.transport.Send(from, methodCounts, &answer) // the receiver detects a lost message
 	}
 }
 
-// takeCounts takes a message and returns the answer to one of a member.
-func (r *Router) takeCounts(now time.Time, m *counts.Message) (answer counts.Message, asked bool) {
+// receiveCounts applies a message. Only a member's report is answered.
+func (r *Router) receiveCounts(now time.Time, m *counts.Message) (answer counts.Message, asked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.Receive(now, m)
@@ -145,16 +145,17 @@
 	return r.balancer.AnswerTo(now, m.Name), true
 }
 
-// CountsAge is how old the counts of other entries are when calls are placed by
-// them, on average over their calls.
+// CountsAge returns the age of other entries' counts at the time they are used for
+// placement, averaged over their calls.
 func (r *Router) CountsAge() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.balancer.CountsAge(time.Now())
 }
 
-// logMoves logs the boundaries that this entry has moved.
-func (r *Router) logMoves() {
+// logBoundaryMoves logs the changes that this entry has made to the boundaries between
+// the short and long sides of pools.
+func (r *Router) logBoundaryMoves() {
 	r.mu.Lock()
 	moves := r.balancer.BoundaryMoves()
 	r.mu.Unlock()
--- a/daemon/router/final.go
+++ b/daemon/router/final.go
@@ -9,29 +9,30 @@
 
 // Limits of one call's attempts.
 const (
-	// maxRefusals bounds the servers that are asked in vain by one call, where
-	// each has certainly not run it.
+	// maxRefusals bounds one call's attempts that certainly did not run.
 	maxRefusals = 4
-	// refusalPause is when a caller may come back after a refusal for want of
-	// room, and its spread, so that not all come back at once.
-	refusalPause  = 400 * time.Millisecond
-	refusalSpread = 600 * time.Millisecond
-	// leastTime is the least time left that a second attempt is worth.
-	leastTime = 30 * time.Millisecond
+	// refusalRetryAfter is the default Retry-After of a refusal. Up to refusalJitter
+	// is added at random, so that refused callers don't all retry at once.
+	refusalRetryAfter = 400 * time.Millisecond
+	refusalJitter     = 600 * time.Millisecond
+	// minRemaining is the least time before the deadline for another attempt.
+	minRemaining = 30 * time.Millisecond
 )
 
-// mayTryAgain reports whether another attempt is allowed and worth it.
-func (c *call) mayTryAgain(v verdict) bool {
-	if time.Until(c.until) < leastTime {
+// mayRetry reports whether another attempt is allowed after one with this result. Unless
+// the last one failed to connect or a retry is reserved already, it takes the attempt from
+// the retry budget.
+func (c *call) mayRetry(result attemptResult) bool {
+	if time.Until(c.deadline) < minRemaining {
 		return false
 	}
-	switch v {
+	switch result {
 	case notRun:
 		if c.refusals >= maxRefusals {
 			return false
 		}
 		if c.last != nil && c.last.Step == "connect" {
-			return true // nothing arrived there
+			return true // nothing reached the server
 		}
 	case failed:
 		if !c.route.Repeatable() || c.runs >= c.route.MaxAttempts {
@@ -40,40 +41,40 @@
 	default:
 		return false
 	}
-	if c.paid {
-		c.paid = false
+	if c.retryReserved {
+		c.retryReserved = false
 		return true
 	}
-	return c.router.takeRepeat(c.pool.Name)
+	return c.router.takeRetry(c.pool.Name)
 }
 
-func (r *Router) takeRepeat(pool string) bool {
+func (r *Router) takeRetry(pool string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budget(pool).Take(time.Now(), r.opt.Entries())
 }
 
-// giveUp gives the final answer of a call that has none from a server.
+// giveUp sends the final answer of a call that no server has answered.
 func (c *call) giveUp(reason string) {
 	if c.stream != nil && c.stream.started {
 		c.logFailure(0, "stream broken: "+reason)
-		panic(http.ErrAbortHandler) // the stream must not look complete
+		panic(http.ErrAbortHandler) // a normal return would make the stream look complete
 	}
 	switch {
 	case c.runs == 0:
-		if c.comeBack == 0 {
-			c.comeBack = refusalPause + time.Duration(rand.Float64()*float64(refusalSpread))
+		if c.retryAfter == 0 {
+			c.retryAfter = refusalRetryAfter + time.Duration(rand.Float64()*float64(refusalJitter))
 		}
-		c.refuse(http.StatusServiceUnavailable, reason, c.comeBack)
-	case !time.Now().Before(c.until):
-		c.refuse(http.StatusGatewayTimeout, "time is over", 0)
+		c.respondError(http.StatusServiceUnavailable, reason, c.retryAfter)
+	case !time.Now().Before(c.deadline):
+		c.respondError(http.StatusGatewayTimeout, "time is over", 0)
 	default:
-		c.refuse(http.StatusBadGateway, "the server's answer is lost", 0)
+		c.respondError(http.StatusBadGateway, "the server's answer is lost", 0)
 	}
 }
 
-// refuse answers the call with a failure of this system's own.
-func (c *call) refuse(status int, reason string, after time.Duration) {
+// respondError answers the call with an error of the router itself.
+func (c *call) respondError(status int, reason string, after time.Duration) {
 	if after > 0 {
 		c.router.opt.Protocol.SetRetryAfter(c.w.Header(), after)
 	}
@@ -82,6 +83,6 @@
 	c.w.WriteHeader(status)
 	_, err := io.WriteString(c.w, `{"error":"`+reason+`"}`+"\n")
 	if err != nil {
-		c.logEnd("caller left during the answer")
+		c.logInfo("caller left during the answer")
 	}
 }
--- a/daemon/router/headers.go
+++ b/daemon/router/headers.go
@@ -5,29 +5,30 @@
 	"strings"
 )
 
-// hopByHop concern one connection only. Content-Length and Host are written
-// anew.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
+// hopByHopHeaders are not forwarded: they apply to one connection only. The client
+// sets Content-Length and Host itself.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "Host"}
 
-// endToEnd returns a copy of the headers without those of one connection.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeaders returns a copy of h without the hop-by-hop headers, including those
+// that its Connection headers name.
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// copyHeader puts a server's headers into an answer. An answer without a
-// content type gets none: guessing would change it.
+// copyHeader copies a server's end-to-end headers into an answer. For an answer without
+// a content type it disables net/http's detection, which would add one.
 func copyHeader(to, from http.Header) {
-	for name, values := range endToEnd(from) {
+	for name, values := range endToEndHeaders(from) {
 		to[name] = values
 	}
 	if from.Get("Content-Type") == "" {
--- a/daemon/router/limit.go
+++ b/daemon/router/limit.go
@@ -15,26 +15,26 @@
 	"cardamomwick.example/daemon/upstream"
 )
 
-// Limits of the wait for a server that has named a request limit.
+// Bounds on the wait for a server with a request limit.
 const (
-	// waitShare of the time that a call has left may pass until its token comes. The rest
-	// is for its run; a call that must wait for longer is refused as soon as that is known,
-	// so that its caller can try another instance.
-	waitShare = 0.25
-	// longestWait passes at most until a waiting call looks for a server again: limits
-	// end, and other servers come.
-	longestWait = 250 * time.Millisecond
-	// leastWait bounds how often it looks.
-	leastWait = 5 * time.Millisecond
+	// maxWaitShare is the fraction of a call's remaining time that may be spent on waiting
+	// for a token; the rest is for its run. A call that must wait longer is refused as soon
+	// as that is known, so that its caller can try another instance.
+	maxWaitShare = 0.25
+	// maxPollInterval is the longest time until a waiting call looks for a server again:
+	// limits may be lifted, and new servers may appear.
+	maxPollInterval = 250 * time.Millisecond
+	// minPollInterval is the shortest time between two looks.
+	minPollInterval = 5 * time.Millisecond
 )
 
-// noteLimit takes what an answer says of its server's request rate.
-func (c *call) noteLimit(s fleet.Server, a upstream.Answer) {
+// recordLimit records the request limit that an answer names for its server.
+func (c *call) recordLimit(s fleet.Server, a upstream.Answer) {
 	if a.WrongServer {
-		return // the answer is another server's
+		return // another server answered
 	}
 	if a.BadLimit {
-		c.logEntry().WithFields(log.Fields{"step": "read limit", "server": s.ID}).Warn("server names a limit that can't be read; what was known of it stays")
+		c.logEntry().WithFields(log.Fields{"step": "read limit", "server": s.ID}).Warn("server names a limit that can't be read; its previous limit stays")
 		return
 	}
 	c.router.mu.Lock()
@@ -42,7 +42,7 @@
 	c.router.balancer.RecordLimit(time.Now(), s.ID, a.Limit)
 }
 
-// logLimits logs the limits that have become known.
+// logLimits logs the changes of servers' request limits.
 func (r *Router) logLimits() {
 	r.mu.Lock()
 	changes := r.balancer.LimitChanges()
@@ -57,16 +57,16 @@
 	}
 }
 
-// server returns the server for the call's next attempt. It waits where the only ones that
-// may take the call have named request limits, as long as that is worth it; otherwise it
-// gives the call its final answer.
-func (c *call) server(ctx context.Context) (balance.Choice, bool) {
+// acquireServer returns the server for the call's next attempt. If all servers that may
+// take the call are at their request limits, it waits for a token within the call's share
+// of time. If there is no server, it sends the final answer and returns false.
+func (c *call) acquireServer(ctx context.Context) (balance.Choice, bool) {
 	w := &ratelimit.Waiter{Rank: c.route.Priority(c.customer)}
 	defer c.router.leaveQueue(c, w)
 	began := time.Now()
-	patience := began.Add(time.Duration(waitShare * float64(c.until.Sub(began))))
+	waitUntil := began.Add(time.Duration(maxWaitShare * float64(c.deadline.Sub(began))))
 	for {
-		s, wait, ok := c.router.choose(c, w)
+		s, wait, ok := c.router.chooseServer(c, w)
 		if wait > 0 || c.waited > 0 {
 			c.waited = max(time.Since(began), time.Millisecond)
 		}
@@ -77,16 +77,16 @@
 			c.giveUp("no backend server")
 			return balance.Choice{}, false
 		}
-		if time.Now().Add(wait).After(patience) {
-			c.comeBack = wait + time.Duration(comeBackSpread*rand.Float64()*float64(wait))
+		if time.Now().Add(wait).After(waitUntil) {
+			c.retryAfter = wait + time.Duration(retryAfterJitter*rand.Float64()*float64(wait))
 			c.giveUp("servers take no more requests")
 			return balance.Choice{}, false
 		}
 		select {
-		case <-time.After(min(wait, longestWait)):
+		case <-time.After(min(wait, maxPollInterval)):
 		case <-ctx.Done():
 			if c.req.Context().Err() != nil {
-				c.logEnd("caller left while its call waited")
+				c.logInfo("caller left while its call waited")
 				panic(http.ErrAbortHandler)
 			}
 			c.giveUp("time is over")
@@ -95,9 +95,10 @@
 	}
 }
 
-// choose returns a server for the call's next attempt and accounts for it, or how long the
-// call has to wait for one, at least leastWait; zero when there is none to wait for.
-func (r *Router) choose(c *call, w *ratelimit.Waiter) (s balance.Choice, wait time.Duration, ok bool) {
+// chooseServer returns a server for the call's next attempt and counts the attempt there.
+// If there is none, wait is how long the call has to wait for one, at least
+// minPollInterval, or zero when waiting can't help.
+func (r *Router) chooseServer(c *call, w *ratelimit.Waiter) (s balance.Choice, wait time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	tried := func(id string) bool { return slices.Contains(c.tried, id) }
@@ -117,7 +118,7 @@
 		return s, 0, false
 	}
 	q.Join(w)
-	return s, max(wait, leastWait), false
+	return s, max(wait, minPollInterval), false
 }
 
 func (r *Router) leaveQueue(c *call, w *ratelimit.Waiter) {
@@ -126,7 +127,8 @@
 	r.queue(c.pool.Name).Leave(w)
 }
 
-// queue returns the calls that wait for a pool's limited servers. Call with the lock held.
+// queue returns the queue of calls that wait for a pool's limited servers. The caller
+// must hold r.mu.
 func (r *Router) queue(pool string) *ratelimit.Queue {
 	q := r.queues[pool]
 	if q == nil {
@@ -136,7 +138,7 @@
 	return q
 }
 
-// WaitingForLimits counts the calls that wait for servers that have named request limits.
+// WaitingForLimits returns the number of calls that wait for servers with request limits.
 func (r *Router) WaitingForLimits() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -11,7 +11,7 @@
 	"cardamomwick.example/daemon/upstream"
 )
 
-// limiting answers as another handler does, and names a limit.
+// limiting adds a request limit to a handler's answers.
 func limiting(limit string, h http.HandlerFunc) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set("Limit", limit)
@@ -19,12 +19,12 @@
 	}
 }
 
-// A refusal for want of tokens comes soon, was sent nowhere, and says when to come back:
-// whoever comes then is served. How much of the first token is there is drawn by lot, so that
-// the first calls may be served.
-func TestCallIsRefusedWhereServersTakeNoMore(t *testing.T) {
+// A call for which no token comes in time is refused at once without being sent, and a
+// retry after its Retry-After is served. The limiter starts with a random part of a token,
+// so that the first calls may be served.
+func TestCallIsRefusedWhereServersAreAtTheirLimit(t *testing.T) {
 	const perSecond = 0.5
-	w := newWorld(t, limiting(strconv.FormatFloat(perSecond, 'f', -1, 64), good))
+	w := newHarness(t, limiting(strconv.FormatFloat(perSecond, 'f', -1, 64), good))
 	w.expect(w.call("/once/x"), 200, 1)
 	const mostServed = 3
 	var got reply
@@ -43,7 +43,7 @@
 		t.Errorf("refused after %v", took)
 	}
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
-	if err != nil || after <= 0 || after > (1+comeBackSpread)/perSecond {
+	if err != nil || after <= 0 || after > (1+retryAfterJitter)/perSecond {
 		t.Fatalf("Retry-After %q at a server that takes a call each %g s", got.header.Get("Retry-After"), 1/perSecond)
 	}
 	before := w.runs.Load()
@@ -51,9 +51,9 @@
 	w.expect(w.call("/once/x"), 200, before+1)
 }
 
-// A call waits for a token that comes while its run is still worth it.
+// A call waits for a token that comes within its share of time.
 func TestCallWaitsForAToken(t *testing.T) {
-	w := newWorld(t, limiting("20", good))
+	w := newHarness(t, limiting("20", good))
 	for range 12 {
 		before := w.runs.Load()
 		w.expect(w.call("/once/x"), 200, before+1)
@@ -63,11 +63,11 @@
 	}
 }
 
-// Attempts after the first one need tokens too: a limited server would get the repeats of
-// all calls that fail elsewhere.
-func TestRepeatedAttemptsKeepToLimits(t *testing.T) {
+// Retries need tokens too: otherwise a limited server would get the retries of all calls
+// that fail at other servers.
+func TestRetriesKeepToLimits(t *testing.T) {
 	var limited atomic.Int64
-	w := newWorld(t, limiting("0", func(rw http.ResponseWriter, r *http.Request) {
+	w := newHarness(t, limiting("0", func(rw http.ResponseWriter, r *http.Request) {
 		limited.Add(1)
 		good(rw, r)
 	}), hangUp)
@@ -83,20 +83,20 @@
 	}
 }
 
-// A limit that can't be read says nothing new, and an answer without one ends it.
-func TestLimitLastsUntilTheServerSaysOtherwise(t *testing.T) {
-	words := []string{"0.5", "x", ""}
-	said := 0
-	w := newWorld(t, func(rw http.ResponseWriter, r *http.Request) {
-		if word := words[min(said, len(words)-1)]; word != "" {
-			rw.Header().Set("Limit", word)
+// An unreadable limit changes nothing, and an answer without a limit lifts it.
+func TestLimitLastsUntilAnAnswerWithoutOne(t *testing.T) {
+	values := []string{"0.5", "x", ""}
+	answers := 0
+	w := newHarness(t, func(rw http.ResponseWriter, r *http.Request) {
+		if value := values[min(answers, len(values)-1)]; value != "" {
+			rw.Header().Set("Limit", value)
 		}
-		said++
+		answers++
 		good(rw, r)
 	})
-	for said < len(words) {
-		before := said
-		if w.call("/once/x"); said == before {
+	for answers < len(values) {
+		before := answers
+		if w.call("/once/x"); answers == before {
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
@@ -106,9 +106,9 @@
 	}
 }
 
-// A server's bound on connections is for all instances together.
+// The connections that a server accepts are shared among all instances.
 func TestInstancesShareAServersConnections(t *testing.T) {
-	w := newWorld(t, good)
+	w := newHarness(t, good)
 	w.router.opt.Entries = func() int { return 10 }
 	for all, want := range map[int]upstream.Target{0: {}, 25: {MaxConnections: 2}, 9: {MaxConnections: 1, CloseAfterUse: true}} {
 		got := w.router.target(fleet.Server{}, all)
--- a/daemon/router/request.go
+++ b/daemon/router/request.go
@@ -14,38 +14,38 @@
 	"cardamomwick.example/daemon/upstream"
 )
 
-// request builds what the server gets: the caller's bytes and headers, less
-// what concerns one connection or is the system's to set.
+// request builds the request to the server: the caller's body and end-to-end headers,
+// with the headers that only the system may set replaced.
 func (c *call) request(s fleet.Server) *upstream.Request {
-	h := endToEnd(c.req.Header)
+	h := endToEndHeaders(c.req.Header)
 	c.router.opt.Protocol.Strip(h)
-	stamp := upstream.Stamp{TimeLeft: time.Until(c.until), ServerName: s.StableName(), After: c.said.After}
+	stamp := upstream.Stamp{TimeLeft: time.Until(c.deadline), ServerName: s.StableName(), After: c.info.After}
 	if c.customer != nil {
 		stamp.Customer = c.customer.Name
 	}
 	if c.pool.Engine != nil {
-		urgency := c.urgency()
-		stamp.Priority = &urgency
+		priority := c.priority()
+		stamp.Priority = &priority
 	}
 	if c.stream != nil && c.stream.lastID != "" {
 		stamp.After = c.stream.lastID
 	}
 	c.router.opt.Protocol.Stamp(h, stamp)
 	hasBody := len(c.body) > 0 || c.req.Method == http.MethodPost || c.req.Method == http.MethodPut
-	return &upstream.Request{CallID: c.said.ID, Method: c.req.Method, URI: requestURI(c.req), Host: c.req.Host,
+	return &upstream.Request{CallID: c.info.ID, Method: c.req.Method, URI: requestURI(c.req), Host: c.req.Host,
 		Header: h, Body: c.body, HasBody: hasBody}
 }
 
-// requestURI returns path and query as they came.
+// requestURI returns path and query as the caller sent them.
 func requestURI(req *http.Request) string {
 	if req.URL.Host == "" {
 		return req.RequestURI
 	}
-	return req.URL.RequestURI() // the absolute form names the host as well
+	return req.URL.RequestURI() // RequestURI is in absolute form and includes the host
 }
 
-// digest identifies the request. It is made when it is first asked for: calls that are
-// refused don't need it.
+// digest identifies the request for the quarantine. It is computed on first use, since
+// most refused calls don't need it.
 func (c *call) digest() quarantine.Digest {
 	if c.identity == nil {
 		r := quarantine.Request{Method: c.req.Method, Host: c.req.Host, URI: requestURI(c.req), Body: c.body}
@@ -58,39 +58,39 @@
 	return *c.identity
 }
 
-// noteBroken tells the quarantine of a run that the server broke off. Runs that this
-// instance or the caller ended say nothing of the server.
-func (c *call) noteBroken(ctx context.Context, s fleet.Server, e *upstream.Error) {
-	startedAgain := errors.Is(context.Cause(ctx), errStartedAgain)
-	if e.Sent && (startedAgain || ctx.Err() == nil && connectionBroke(e)) {
+// reportBroken reports a run that the server broke off to the quarantine. Runs that this
+// instance or the caller ended are no evidence about the server.
+func (c *call) reportBroken(ctx context.Context, s fleet.Server, e *upstream.Error) {
+	startedAgain := errors.Is(context.Cause(ctx), errServerRestarted)
+	if e.Sent && (startedAgain || ctx.Err() == nil && isConnectionError(e)) {
 		run := c.run(s)
 		run.Reached = e.Reached
 		c.router.opt.Quarantine.Broke(run, c.digest())
 	}
 }
 
-// noteSuccess tells the quarantine that a server has answered.
-func (c *call) noteSuccess(s fleet.Server) { c.router.opt.Quarantine.Succeeded(c.run(s), c.digest()) }
+// reportSuccess reports an answered run to the quarantine.
+func (c *call) reportSuccess(s fleet.Server) { c.router.opt.Quarantine.Succeeded(c.run(s), c.digest()) }
 
-// run is the call's last attempt.
+// run describes the call's last attempt to the quarantine.
 func (c *call) run(s fleet.Server) keeper.Run {
-	return keeper.Run{Server: s.ID, Address: s.Address, Began: c.began}
+	return keeper.Run{Server: s.ID, Address: s.Address, Began: c.attemptStart}
 }
 
-// keptBack gives the final answer of a request in quarantine, and reports whether it
-// is there.
-func (c *call) keptBack() bool {
+// refuseQuarantined sends the final answer if the request is in quarantine, and reports
+// whether it is.
+func (c *call) refuseQuarantined() bool {
 	left, held := c.router.opt.Quarantine.Held(c.digest)
 	if held {
-		c.comeBack = left
+		c.retryAfter = left
 		c.giveUp(keeper.KeptBack)
 	}
 	return held
 }
 
-// connectionBroke reports whether an attempt ended with its connection, and not by
-// an answer that can't be passed on.
-func connectionBroke(err error) bool {
+// isConnectionError reports whether an attempt failed because its connection broke, and
+// not because of an unusable answer.
+func isConnectionError(err error) bool {
 	for _, broken := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, broken) {
 			return true
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -1,9 +1,9 @@
 // Package router serves callers on declared routes: it finds the route and the
-// customer, places the call on a backend server, sends it and passes the answer
-// on. Decisions are made in core packages; this one does the input and output.
+// customer, places the call on a backend server, sends it and forwards the
+// answer. Decisions are made in core packages; this one does the input and output.
 //
-// Each call gets one final answer. Statuses that promise that a call has not
-// run are used only when that is certain.
+// Each call gets exactly one final answer. Statuses that promise that a call has
+// not run are used only when that is certain.
 package router
 
 import (
@@ -29,25 +29,25 @@
 	"cardamomwick.example/daemon/upstream"
 )
 
-// defaultMaxBody bounds a call's body where the declaration does not.
+// defaultMaxBody bounds a call's body, in bytes, where the declaration does not.
 const defaultMaxBody = 4 << 20
 
 // Options sets up a Router.
 type Options struct {
 	Protocol upstream.Protocol
-	// Table returns the declaration in force, nil before the first.
+	// Table returns the declaration in force, or nil before the first one.
 	Table func() *routing.Table
 	// Entries returns how many instances serve callers, this one included.
 	Entries func() int
-	// Name is this instance's.
+	// Name is this instance's name.
 	Name  string
 	Retry RetryLimits
-	// Metrics counts calls; New makes a set of its own when it is nil.
+	// Metrics counts calls; nil selects a new set.
 	Metrics *telemetry.Metrics
-	// Usage counts the runs that servers begin; New makes one that counts nothing.
+	// Usage counts the runs that servers begin; nil counts nothing.
 	Usage Usage
-	// Quarantine says which requests are kept from the servers; New makes one of its
-	// own when it is nil.
+	// Quarantine decides which requests are withheld from the servers; nil selects a
+	// new one.
 	Quarantine *quarantine.Keeper
 }
 
@@ -61,7 +61,7 @@
 
 func (noUsage) Began(string, time.Duration) {}
 
-// RetryLimits are the limits of repeated attempts per pool; see retry.Window.
+// RetryLimits bound the retries per pool; see retry.Window.
 type RetryLimits struct {
 	Span         time.Duration
 	Ratio, Slack float64
@@ -72,24 +72,24 @@
 	opt      Options
 	upstream *upstream.Client
 	inFlight atomic.Int64
-	attempts attempts
+	attempts attemptTracker
 
-	// started is when this instance began; equipped is closed once it has a
-	// declaration and has been told of the servers.
-	started  time.Time
-	equipped chan struct{}
-	equip    sync.Once
+	// started is when this instance started. warmedUp is closed once it has a
+	// declaration and a list of servers.
+	started    time.Time
+	warmedUp   chan struct{}
+	warmUpOnce sync.Once
 
-	// fleet is the list taken last; only SetFleet uses it, which one goroutine calls.
+	// fleet is the list last passed to SetFleet, which only one goroutine calls.
 	fleet []fleet.Server
 
 	mu       sync.Mutex
-	waiting  warmup.Limiter
+	warmup   warmup.Limiter
 	balancer *balance.Balancer
 	budgets  map[string]*retry.Window
 	queues   map[string]*ratelimit.Queue
-	// cutOff is when this instance ends what is in flight; zero until it leaves.
-	cutOff time.Time
+	// stopAt is when this instance aborts the calls in flight; zero unless it shuts down.
+	stopAt time.Time
 }
 
 // New returns a router that knows no servers yet.
@@ -103,46 +103,46 @@
 	if o.Quarantine == nil {
 		o.Quarantine = quarantine.New(quarantine.Options{})
 	}
-	return &Router{opt: o, started: time.Now(), equipped: make(chan struct{}), upstream: upstream.NewClient(o.Protocol), balancer: balance.New(o.Name, rand.Uint32()), budgets: map[string]*retry.Window{}, queues: map[string]*ratelimit.Queue{}}
+	return &Router{opt: o, started: time.Now(), warmedUp: make(chan struct{}), upstream: upstream.NewClient(o.Protocol), balancer: balance.New(o.Name, rand.Uint32()), budgets: map[string]*retry.Window{}, queues: map[string]*ratelimit.Queue{}}
 }
 
-// SetFleet takes the backend servers that are there, sorted by ID.
+// SetFleet sets the known backend servers, sorted by ID.
 func (r *Router) SetFleet(list []fleet.Server) {
 	before := r.fleet
 	r.fleet = list
 	r.mu.Lock()
 	r.balancer.SetFleet(list)
 	r.mu.Unlock()
-	r.endSuperseded(before, list)
+	r.cancelSuperseded(before, list)
 	r.upstream.Forget(func(id string) bool { return !ready(list, id) })
 	r.Refresh()
 }
 
-// Refresh closes connections that have been idle for too long, and lets calls in that wait
-// for what they need; call it now and then, also while the servers stay the same.
+// Refresh closes expired idle connections and, once a declaration is in force, releases
+// the calls that wait for it. Call it periodically, even if the servers don't change.
 func (r *Router) Refresh() {
 	r.upstream.Sweep()
 	if r.opt.Table() != nil {
-		r.equip.Do(func() { close(r.equipped) })
+		r.warmUpOnce.Do(func() { close(r.warmedUp) })
 	}
 }
 
-// ready reports whether a server is in a sorted list and ready.
+// ready reports whether the server is in the sorted list and in phase Ready.
 func ready(list []fleet.Server, id string) bool {
 	place, found := fleet.Find(list, id)
 	return found && list[place].Phase == fleet.Ready
 }
 
-// endSuperseded ends the attempts at servers that have started again.
-func (r *Router) endSuperseded(before, now []fleet.Server) {
+// cancelSuperseded cancels the attempts at servers that have restarted.
+func (r *Router) cancelSuperseded(before, now []fleet.Server) {
 	for _, s := range superseded(before, now) {
 		r.opt.Quarantine.Ended(s.ID)
-		ended := r.attempts.endAt(s.ID)
-		log.WithFields(log.Fields{"step": "take fleet", "server": s.ID, "pool": s.Pool, "in_flight": ended}).Info("server has started again; what was believed of its former start ends")
+		cancelled := r.attempts.cancelAll(s.ID)
+		log.WithFields(log.Fields{"step": "take fleet", "server": s.ID, "pool": s.Pool, "in_flight": cancelled}).Info("server has started again; the state of its previous start is discarded")
 	}
 }
 
-// SetTable takes a new declaration.
+// SetTable applies the engine settings of a new declaration to the balancer.
 func (r *Router) SetTable(t *routing.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,16 +153,16 @@
 	}
 }
 
-// Close makes every answer ask its caller to close the connection, and refuses
-// calls that might not be done at the given time.
-func (r *Router) Close(cutOff time.Time) {
+// Drain makes every answer ask its caller to close the connection, and refuses new
+// calls whose timeout ends after stopAt.
+func (r *Router) Drain(stopAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cutOff = cutOff
+	r.stopAt = stopAt
 }
 
-// Beliefs lists what placement holds of each server.
-func (r *Router) Beliefs() map[string][]balance.ServerState {
+// ServerStates returns the balancer's state of each server, by pool.
+func (r *Router) ServerStates() map[string][]balance.ServerState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[string][]balance.ServerState{}
@@ -174,7 +174,7 @@
 	return out
 }
 
-// InFlight returns the calls that have no final answer yet.
+// InFlight returns the number of calls without a final answer.
 func (r *Router) InFlight() int { return int(r.inFlight.Load()) }
 
 // ServeHTTP serves one call of a caller.
@@ -182,7 +182,7 @@
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
 	c := &call{router: r, w: w, req: req, arrived: time.Now()}
-	if !r.closing().IsZero() {
+	if !r.shutdownDeadline().IsZero() {
 		w.Header().Set("Connection", "close")
 	}
 	if c.accept() {
@@ -190,59 +190,57 @@
 	}
 }
 
-// closing returns when this instance ends what is in flight, zero while it
-// stays.
-func (r *Router) closing() time.Time {
+// shutdownDeadline returns when this instance aborts the calls in flight, or zero if it
+// is not shutting down.
+func (r *Router) shutdownDeadline() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cutOff
+	return r.stopAt
 }
 
-// accept reads the call and finds its route, customer and pool. It answers the
-// call itself, and returns false, if it can't be passed on.
+// accept reads the call and finds its route, customer and pool. If the call can't be
+// served, it sends the final answer and returns false.
 func (c *call) accept() bool {
-	c.said = c.router.opt.Protocol.Call(c.req.Header)
+	c.info = c.router.opt.Protocol.Call(c.req.Header)
 	if !c.readBody(c.router.bodyLimit()) {
 		return false
 	}
-	// The declaration is looked up after the body has come, which can take long.
+	// The declaration is looked up after the body, which can take long to arrive.
 	table := c.awaitTable()
 	if table == nil {
-		c.refuse(http.StatusServiceUnavailable, "no declaration yet", noDeclarationPause)
+		c.respondError(http.StatusServiceUnavailable, "no declaration yet", noDeclarationRetryAfter)
 		return false
 	}
 	if int64(len(c.body)) > c.router.bodyLimit() {
-		c.refuse(http.StatusRequestEntityTooLarge, "body is too large", 0)
+		c.respondError(http.StatusRequestEntityTooLarge, "body is too large", 0)
 		return false
 	}
 	c.version = table.Version()
 	c.route = table.Route(hostOf(c.req), c.req.URL.EscapedPath())
 	if c.route == nil {
-		c.refuse(http.StatusNotFound, "no such route", 0)
+		c.respondError(http.StatusNotFound, "no such route", 0)
 		return false
 	}
 	if table.HasCustomers() && !c.route.Public {
-		c.customer = table.Customer(c.said.Key)
+		c.customer = table.Customer(c.info.Key)
 		if c.customer == nil {
-			c.refuse(http.StatusUnauthorized, "unknown key", 0)
+			c.respondError(http.StatusUnauthorized, "unknown key", 0)
 			return false
 		}
 	}
-	if cutOff := c.router.closing(); !cutOff.IsZero() && time.Now().Add(c.route.Timeout).After(cutOff) {
-		c.refuse(http.StatusServiceUnavailable, "instance is shutting down", elsewherePause)
+	if stopAt := c.router.shutdownDeadline(); !stopAt.IsZero() && time.Now().Add(c.route.Timeout).After(stopAt) {
+		c.respondError(http.StatusServiceUnavailable, "instance is shutting down", shutdownRetryAfter)
 		return false
 	}
 	c.pool = table.Pool(c.route.Pick(rand.Float64()))
 	return true
 }
 
-// elsewherePause is when a caller may come back whose call another instance can
-// take at once.
-const elsewherePause = 10 * time.Millisecond
+// shutdownRetryAfter is short because another instance can take the call at once.
+const shutdownRetryAfter = 10 * time.Millisecond
 
-// noDeclarationPause is when a caller of an instance that has just started may
-// come back.
-const noDeclarationPause = 300 * time.Millisecond
+// noDeclarationRetryAfter is sent by an instance that has no declaration yet.
+const noDeclarationRetryAfter = 300 * time.Millisecond
 
 func hostOf(req *http.Request) string {
 	host, _, found := strings.Cut(req.Host, ":")
@@ -257,17 +255,17 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		c.refuse(http.StatusRequestEntityTooLarge, "body is too large", 0)
+		c.respondError(http.StatusRequestEntityTooLarge, "body is too large", 0)
 		return false
 	case err != nil:
-		log.WithError(err).WithFields(log.Fields{"step": "read call", "call": c.said.ID}).Debug("caller broke off")
+		log.WithError(err).WithFields(log.Fields{"step": "read call", "call": c.info.ID}).Debug("body could not be read")
 		panic(http.ErrAbortHandler)
 	}
 	c.body = body
 	return true
 }
 
-// budget returns the pool's retry budget. Call with the lock held.
+// budget returns the pool's retry budget. The caller must hold r.mu.
 func (r *Router) budget(pool string) *retry.Window {
 	w := r.budgets[pool]
 	if w == nil {
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -21,7 +21,7 @@
 	"cardamomwick.example/daemon/upstream"
 )
 
-// testProtocol is a small way of speaking of calls in headers.
+// testProtocol is a minimal upstream.Protocol.
 type testProtocol struct{}
 
 func (testProtocol) Call(h http.Header) upstream.Call {
@@ -30,7 +30,7 @@
 }
 
 func (testProtocol) Strip(h http.Header) {
-	for _, name := range []string{"Key", "Customer", "Server", "Urgency", "Patience"} {
+	for _, name := range []string{"Key", "Customer", "Server", "Priority", "Patience"} {
 		h.Del(name)
 	}
 }
@@ -44,8 +44,8 @@
 
 func (testProtocol) Answer(status int, h http.Header) upstream.Answer {
 	a := upstream.Answer{CallID: h.Get("Call"), Signed: h.Get("Signature") != "", NotRun: h.Get("Not-Run") != "", WrongServer: status == http.StatusMisdirectedRequest}
-	if word := h.Get("Limit"); word != "" {
-		perSecond, err := strconv.ParseFloat(word, 64)
+	if value := h.Get("Limit"); value != "" {
+		perSecond, err := strconv.ParseFloat(value, 64)
 		a.Limit, a.BadLimit = ratelimit.Limit{Limited: err == nil, PerSecond: perSecond}, err != nil
 	}
 	return a
@@ -55,8 +55,8 @@
 	h.Set("Retry-After", fmt.Sprint(after.Seconds()))
 }
 
-// world is a router with backend servers and a caller's side.
-type world struct {
+// harness is a router with test backend servers and an HTTP front for callers.
+type harness struct {
 	t      *testing.T
 	router *Router
 	front  *httptest.Server
@@ -80,16 +80,16 @@
 		Pools: []routing.Pool{{Name: "p"}}, Customers: []routing.Customer{{Name: "ana", Keys: []string{"key"}}}}
 }
 
-func newWorld(t *testing.T, servers ...http.HandlerFunc) *world {
+func newHarness(t *testing.T, servers ...http.HandlerFunc) *harness {
 	t.Helper()
-	w := &world{t: t}
+	w := &harness{t: t}
 	table := routing.NewTable(declared())
 	w.router = New(Options{Protocol: testProtocol{}, Name: "entry", Table: func() *routing.Table { return table },
 		Entries: func() int { return 1 }, Retry: RetryLimits{Span: 10 * time.Second, Ratio: 0.2, Slack: 50}})
 	for i, h := range servers {
 		s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 			w.runs.Add(1)
-			if _, err := io.Copy(io.Discard, r.Body); err != nil { // until it is read, the server does not see the caller leave
+			if _, err := io.Copy(io.Discard, r.Body); err != nil { // net/http detects a disconnect only after the body is read
 				return
 			}
 			w.mu.Lock()
@@ -115,7 +115,7 @@
 	err    error
 }
 
-func (w *world) call(path string, headers ...string) reply {
+func (w *harness) call(path string, headers ...string) reply {
 	w.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, w.front.URL+path, strings.NewReader("body"))
 	if err != nil {
@@ -152,7 +152,7 @@
 	rw.WriteHeader(http.StatusInternalServerError)
 }
 
-func (w *world) expect(got reply, status int, runs int64) {
+func (w *harness) expect(got reply, status int, runs int64) {
 	w.t.Helper()
 	if got.err != nil || got.status != status || w.runs.Load() != runs {
 		w.t.Errorf("got %d %q %v after %d attempts, want %d after %d", got.status, got.body, got.err, w.runs.Load(), status, runs)
@@ -160,13 +160,13 @@
 }
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
-	w := newWorld(t, good)
-	got := w.call("/once/x?q=1", "Customer", "forged", "Urgency", "0")
+	w := newHarness(t, good)
+	got := w.call("/once/x?q=1", "Customer", "forged", "Priority", "0")
 	w.expect(got, 200, 1)
 	if got.body != "done" || got.header.Get("Signature") != "x" {
 		t.Errorf("got %q with signature %q", got.body, got.header.Get("Signature"))
 	}
-	if w.last.Get("Customer") != "ana" || w.last.Get("Key") != "" || w.last.Get("Urgency") != "" || w.last.Get("Server") != "s0" {
+	if w.last.Get("Customer") != "ana" || w.last.Get("Key") != "" || w.last.Get("Priority") != "" || w.last.Get("Server") != "s0" {
 		t.Errorf("the server got %v", w.last)
 	}
 	if left, _ := strconv.Atoi(w.last.Get("Patience")); left <= 0 || left > 700 {
@@ -175,56 +175,56 @@
 }
 
 func TestStatusesOfWhatIsNotDeclared(t *testing.T) {
-	w := newWorld(t, good)
+	w := newHarness(t, good)
 	w.expect(w.call("/none/x"), 404, 0)
 	w.expect(w.call("/once/x", "Key", "wrong"), 401, 0)
 	w.expect(w.call("/once/x", "Key", ""), 401, 0)
 	w.expect(w.call("/open/x", "Key", ""), 200, 1)
 }
 
-func TestWithoutADeclarationCallersComeBack(t *testing.T) {
-	w := newWorld(t, good)
+func TestCallWithoutADeclarationGetsRetryAfter(t *testing.T) {
+	w := newHarness(t, good)
 	w.router.opt.Table = func() *routing.Table { return nil }
 	got := w.call("/once/x")
 	w.expect(got, 503, 0)
 	if got.header.Get("Retry-After") == "" {
-		t.Error("no time to come back")
+		t.Error("no Retry-After")
 	}
 }
 
 func TestCallThatMayHaveRunIsNotSentAgain(t *testing.T) {
-	w := newWorld(t, hangUp, hangUp)
+	w := newHarness(t, hangUp, hangUp)
 	w.expect(w.call("/once/x"), 502, 1)
-	w = newWorld(t, failing, failing)
+	w = newHarness(t, failing, failing)
 	w.expect(w.call("/once/x"), 500, 1)
-	w = newWorld(t, hangUp, hangUp)
+	w = newHarness(t, hangUp, hangUp)
 	w.expect(w.call("/chat/x"), 502, 1)
 }
 
 func TestCallThatCertainlyDidNotRunGoesElsewhere(t *testing.T) {
-	w := newWorld(t, notRunHere, notRunHere, good, notRunHere)
+	w := newHarness(t, notRunHere, notRunHere, good, notRunHere)
 	for range 4 {
 		if got := w.call("/once/x"); got.status != 200 {
 			t.Fatalf("got %d", got.status)
 		}
 	}
-	w = newWorld(t, notRunHere, notRunHere)
+	w = newHarness(t, notRunHere, notRunHere)
 	got := w.call("/once/x")
 	w.expect(got, 503, 2)
 	if got.header.Get("Retry-After") == "" {
-		t.Error("no time to come back")
+		t.Error("no Retry-After")
 	}
 }
 
-func TestIdempotentCallIsRepeatedWithinItsAttempts(t *testing.T) {
-	w := newWorld(t, failing, failing, failing, failing, failing)
+func TestIdempotentCallIsRetriedWithinItsAttempts(t *testing.T) {
+	w := newHarness(t, failing, failing, failing, failing, failing)
 	w.expect(w.call("/safe/x"), 500, 3)
-	w = newWorld(t, hangUp, hangUp, hangUp, hangUp)
+	w = newHarness(t, hangUp, hangUp, hangUp, hangUp)
 	w.expect(w.call("/safe/x"), 502, 3)
 }
 
 func TestSilentServerEndsAtTheTimeout(t *testing.T) {
-	w := newWorld(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	w := newHarness(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	began := time.Now()
 	w.expect(w.call("/once/x"), 504, 1)
 	if took := time.Since(began); took < 600*time.Millisecond || took > 1200*time.Millisecond {
@@ -238,12 +238,12 @@
 }
 
 func TestUnsignedSuccessIsNoAnswer(t *testing.T) {
-	w := newWorld(t, func(rw http.ResponseWriter, _ *http.Request) { fmt.Fprint(rw, "who knows") })
+	w := newHarness(t, func(rw http.ResponseWriter, _ *http.Request) { fmt.Fprint(rw, "unsigned") })
 	w.expect(w.call("/once/x"), 502, 1)
 }
 
 func TestAnswerOfAnotherCallIsNoAnswer(t *testing.T) {
-	w := newWorld(t, func(rw http.ResponseWriter, _ *http.Request) {
+	w := newHarness(t, func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Signature", "x")
 		rw.Header().Set("Call", "someone else's")
 		fmt.Fprint(rw, "secret")
@@ -253,8 +253,8 @@
 	}
 }
 
-// events writes events from the one after the caller's last, up to the given
-// one, and breaks off there unless it is the end.
+// events streams events from the one after the caller's last up to number upTo. If that
+// is not end, it then breaks the connection in the middle of the next event.
 func events(upTo, end int) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set("Signature", "x")
@@ -295,7 +295,7 @@
 		}
 		events(9, 9)(rw, r)
 	}
-	w := newWorld(t, h, h, h)
+	w := newHarness(t, h, h, h)
 	got := w.call("/stream/x")
 	if got.err != nil || got.body != pieces(9) {
 		t.Errorf("got %q, %v", got.body, got.err)
@@ -303,7 +303,7 @@
 }
 
 func TestBrokenStreamThatMayNotBeResumedDoesNotLookComplete(t *testing.T) {
-	w := newWorld(t, events(4, 9), events(9, 9))
+	w := newHarness(t, events(4, 9), events(9, 9))
 	w.fleet[1].Phase = fleet.Draining
 	w.router.SetFleet(w.fleet)
 	got := w.call("/chat/x")
@@ -316,7 +316,7 @@
 }
 
 func TestRepeatedEventIsNotPassedOn(t *testing.T) {
-	w := newWorld(t, func(rw http.ResponseWriter, _ *http.Request) {
+	w := newHarness(t, func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Signature", "x")
 		fmt.Fprint(rw, "id: 1\ndata: a\n\nid: 1\ndata: a\n\nid: 2\ndata: b\n\n")
 	})
@@ -327,7 +327,7 @@
 
 func TestServerSeesThatTheCallerHasLeft(t *testing.T) {
 	left := make(chan struct{})
-	w := newWorld(t, func(_ http.ResponseWriter, r *http.Request) {
+	w := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(left)
 	})
@@ -348,17 +348,17 @@
 	}
 }
 
-// A leaving entry once took a stream five seconds into its shutdown and cut it
-// off at the end.
-func TestLeavingEntryTakesOnlyWhatEndsInTime(t *testing.T) {
-	w := newWorld(t, good)
-	w.router.Close(time.Now().Add(500 * time.Millisecond))
+// An entry that shuts down must refuse calls that may outlast it. It once accepted a
+// stream five seconds into its shutdown and cut it off at the end.
+func TestDrainingEntryTakesOnlyCallsThatEndInTime(t *testing.T) {
+	w := newHarness(t, good)
+	w.router.Drain(time.Now().Add(500 * time.Millisecond))
 	got := w.call("/once/x")
 	w.expect(got, 503, 0)
 	if !strings.Contains(strings.ToLower(got.header.Get("Retry-After")), "0.0") {
-		t.Errorf("comes back after %q", got.header.Get("Retry-After"))
+		t.Errorf("Retry-After is %q", got.header.Get("Retry-After"))
 	}
-	w.router.Close(time.Now().Add(5 * time.Second))
+	w.router.Drain(time.Now().Add(5 * time.Second))
 	w.expect(w.call("/once/x"), 200, 1)
 }
 
@@ -366,14 +366,15 @@
 	d := declared()
 	d.Limits.MaxBodyBytes = 3
 	table := routing.NewTable(d)
-	w := newWorld(t, good)
+	w := newHarness(t, good)
 	w.router.opt.Table = func() *routing.Table { return table }
 	w.expect(w.call("/once/x"), 413, 0)
 }
 
-// A request smuggled behind another one's body must not reach a server.
+// Two differing Content-Length headers, as used for request smuggling, must not reach a
+// server.
 func TestAmbiguousLengthIsRefused(t *testing.T) {
-	w := newWorld(t, good)
+	w := newHarness(t, good)
 	conn, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -386,29 +387,29 @@
 	}
 }
 
-func TestRetryBudgetEndsRepeats(t *testing.T) {
-	w := newWorld(t, failing, failing, failing)
+func TestRetryBudgetBoundsRetries(t *testing.T) {
+	w := newHarness(t, failing, failing, failing)
 	w.router.opt.Retry.Slack = 10
 	for range 60 {
 		w.call("/safe/x")
 	}
 	if extra := w.runs.Load() - 60; extra > 22 {
-		t.Errorf("%d repeats of 60 calls with a ratio of 0.2 and a slack of 10", extra)
+		t.Errorf("%d retries of 60 calls with a ratio of 0.2 and a slack of 10", extra)
 	}
 }
 
-// A server that takes calls and never answers must not cost an idempotent call
-// its whole time.
+// An idempotent call must not spend all its time on a server that accepts it and never
+// answers.
 func TestSilentServerIsLeftForAnother(t *testing.T) {
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	w := newWorld(t, silent, good)
+	w := newHarness(t, silent, good)
 	for range 4 {
 		began := time.Now()
 		if got := w.call("/safe/x"); got.status != 200 {
 			t.Fatalf("got %d after %v", got.status, time.Since(began))
 		}
 	}
-	w = newWorld(t, silent, silent)
+	w = newHarness(t, silent, silent)
 	w.expect(w.call("/once/x"), 504, 1)
 }
 
@@ -426,15 +427,15 @@
 		}
 		events(9, 9)(rw, r)
 	}
-	w := newWorld(t, h, h)
+	w := newHarness(t, h, h)
 	if got := w.call("/stream/x"); got.err != nil || got.body != pieces(9) {
 		t.Errorf("got %q, %v", got.body, got.err)
 	}
 }
 
-// Each repeat is taken from the budget once.
-func TestRepeatIsPaidOnce(t *testing.T) {
-	w := newWorld(t, failing, failing, failing)
+// Each retry is taken from the budget once.
+func TestRetryIsTakenFromTheBudgetOnce(t *testing.T) {
+	w := newHarness(t, failing, failing, failing)
 	w.router.opt.Retry.Slack = 25
 	for range 6 {
 		w.call("/safe/x")
--- a/daemon/router/stream.go
+++ b/daemon/router/stream.go
@@ -15,25 +15,25 @@
 	"cardamomwick.example/daemon/upstream"
 )
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes bounds an event with lines longer than the read buffer.
+const maxEventBytes = 1 << 20
 
-// stream is what the caller of a stream has got so far.
-type stream struct {
-	// started: the answer's head has been sent; only more events may follow.
+// streamState is what the caller of a stream has received so far, over all attempts.
+type streamState struct {
+	// started is set once the answer's headers are sent; only events may follow.
 	started bool
 	lastID  string
 	events  int
-	// first is when the first event was passed on, last the latest; longestGap is
-	// the longest time between two.
+	// first and last are the times of the first and the latest event; longestGap is
+	// the longest time between two events.
 	first, last time.Time
 	longestGap  time.Duration
 	gaps        []time.Duration
 }
 
-// note takes the time of an event and returns the gap before it; ok is false for
-// the first one.
-func (s *stream) note(now time.Time) (gap time.Duration, ok bool) {
+// recordEvent records an event and returns the gap before it; ok is false for the
+// first event.
+func (s *streamState) recordEvent(now time.Time) (gap time.Duration, ok bool) {
 	if s.events == 0 {
 		s.first = now
 	} else {
@@ -46,32 +46,31 @@
 	return gap, ok
 }
 
-// streamed tells placement of a whole stream.
-func (r *Router) streamed(c *call) {
+// recordStream reports a complete stream to the balancer.
+func (r *Router) recordStream(c *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.RecordStream(time.Now(), &c.ticket, c.stream.gaps)
 }
 
-// progress tells placement of a gap in a running stream.
-func (r *Router) progress(c *call, gap time.Duration) {
+// recordGap reports the gap between two events of a running stream to the balancer.
+func (r *Router) recordGap(c *call, gap time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.RecordGap(&c.ticket, gap)
 }
 
-// passStream passes whole events on as they come. When the server breaks off,
-// what the caller has is complete up to lastID, from where another server may
-// go on.
-func (c *call) passStream(ctx context.Context, s fleet.Server, resp *upstream.Response) verdict {
+// forwardStream forwards complete events as they arrive. If the server breaks off, the
+// caller has everything up to lastID, from where another server may resume.
+func (c *call) forwardStream(ctx context.Context, s fleet.Server, resp *upstream.Response) attemptResult {
 	if c.stream == nil {
-		c.stream = &stream{lastID: c.said.After}
+		c.stream = &streamState{lastID: c.info.After}
 	}
-	events := bufio.NewReaderSize(resp.Body, eventBuffer)
+	events := bufio.NewReaderSize(resp.Body, eventBufferBytes)
 	for first := true; ; first = false {
 		event, err := readEvent(events)
 		if first {
-			c.router.began(c)
+			c.router.recordFirstEvent(c)
 			if err == nil {
 				c.countRun(0)
 			}
@@ -80,31 +79,31 @@
 			return c.endStream(s, resp)
 		}
 		if err == nil {
-			err = c.passEvent(resp, event)
+			err = c.forwardEvent(resp, event)
 		}
 		if errors.Is(err, errCallerLeft) {
-			return gone
+			return callerGone
 		}
 		if err != nil {
 			c.last = &upstream.Error{Sent: true, Reached: true, Step: "read stream", Server: s.ID, Err: err}
-			c.noteBroken(ctx, s, c.last)
+			c.reportBroken(ctx, s, c.last)
 			if ctx.Err() == nil {
-				c.router.bad(s.ID, false)
+				c.router.recordFailure(s.ID, false)
 			}
 			return failed
 		}
 	}
 }
 
-const eventBuffer = 4 << 10
+const eventBufferBytes = 4 << 10
 
-func (c *call) endStream(s fleet.Server, resp *upstream.Response) verdict {
+func (c *call) endStream(s fleet.Server, resp *upstream.Response) attemptResult {
 	if !c.stream.started {
 		c.startStream(resp)
 	}
-	c.router.good(s.ID)
-	c.noteSuccess(s)
-	c.router.streamed(c)
+	c.router.recordSuccess(s.ID)
+	c.reportSuccess(s)
+	c.router.recordStream(c)
 	c.logAnswer(s, resp.Status)
 	return answered
 }
@@ -116,25 +115,25 @@
 }
 
 var (
-	errCallerLeft = errors.New("the caller has left")
-	errOrder      = errors.New("an event is missing or comes twice")
+	errCallerLeft    = errors.New("the caller has left")
+	errEventSequence = errors.New("an event is missing or comes twice")
 )
 
-func (c *call) passEvent(resp *upstream.Response, event []byte) error {
+func (c *call) forwardEvent(resp *upstream.Response, event []byte) error {
 	id := eventID(event)
 	if id != "" {
-		if !follows(c.stream.lastID, id, c.stream.events) {
-			return errOrder
+		if !isNextEvent(c.stream.lastID, id, c.stream.events) {
+			return errEventSequence
 		}
 		c.stream.lastID = id
 	}
 	if !c.stream.started {
 		c.startStream(resp)
 	}
-	if gap, ok := c.stream.note(time.Now()); ok && c.size.Tokens >= balance.LongPromptTokens {
-		c.router.progress(c, gap)
+	if gap, ok := c.stream.recordEvent(time.Now()); ok && c.size.Tokens >= balance.LongPromptTokens {
+		c.router.recordGap(c, gap)
 	}
-	c.dog.event(c.route.TargetGap)
+	c.watchdog.reset(c.route.TargetGap)
 	if _, err := c.w.Write(event); err != nil {
 		return errCallerLeft
 	}
@@ -144,9 +143,9 @@
 	return nil
 }
 
-// follows reports whether an event's number is the next one. Numbers that are
-// not decimal are passed on unchecked.
-func follows(last, id string, events int) bool {
+// isNextEvent reports whether the event ID follows the last one. IDs that are not
+// decimal numbers are not checked.
+func isNextEvent(last, id string, events int) bool {
 	next, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return true
@@ -158,14 +157,14 @@
 	return next == before+1
 }
 
-// readEvent returns the bytes of one event with the empty line that ends it.
-// io.EOF means that the stream ended properly between two events.
+// readEvent returns the bytes of one event, including the empty line that ends it.
+// It returns io.EOF only if the stream ended between two events.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
-		if err == bufio.ErrBufferFull && len(event) < maxEvent {
+		if err == bufio.ErrBufferFull && len(event) < maxEventBytes {
 			continue
 		}
 		if err == io.EOF && len(event) > 0 {
@@ -180,7 +179,7 @@
 	}
 }
 
-// eventID returns the value of an event's id field, "" without one.
+// eventID returns the value of an event's id field, or "" if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/daemon/router/warmup.go
+++ b/daemon/router/warmup.go
@@ -6,7 +6,7 @@
 	"cardamomwick.example/core/routing"
 )
 
-// bodyLimit bounds a call's body, in bytes.
+// bodyLimit returns the maximum size of a call's body in bytes.
 func (r *Router) bodyLimit() int64 {
 	if t := r.opt.Table(); t != nil && t.Limits().MaxBodyBytes > 0 {
 		return t.Limits().MaxBodyBytes
@@ -14,17 +14,17 @@
 	return defaultMaxBody
 }
 
-// awaitTable returns the declaration in force. At an instance that has just
-// started it waits for the first one, and for the servers that come with it; nil
-// means that the call is refused.
+// awaitTable returns the declaration in force. On an instance that has just started it
+// waits for the first declaration and the servers. It returns nil if the call is to be
+// refused.
 func (c *call) awaitTable() *routing.Table {
 	r := c.router
 	select {
-	case <-r.equipped:
+	case <-r.warmedUp:
 		return r.opt.Table()
 	default:
 	}
-	wait, ok := r.enterWarmup(len(c.body), c.said.Patience)
+	wait, ok := r.enterWarmup(len(c.body), c.info.Patience)
 	if !ok {
 		return nil
 	}
@@ -32,7 +32,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-r.equipped:
+	case <-r.warmedUp:
 		return r.opt.Table()
 	case <-timer.C:
 	case <-c.req.Context().Done():
@@ -43,11 +43,11 @@
 func (r *Router) enterWarmup(bytes int, patience time.Duration) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.waiting.Admit(time.Now(), r.started, bytes, patience)
+	return r.warmup.Admit(time.Now(), r.started, bytes, patience)
 }
 
 func (r *Router) leaveWarmup(bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.waiting.Release(bytes)
+	r.warmup.Release(bytes)
 }
--- a/daemon/router/warmup_test.go
+++ b/daemon/router/warmup_test.go
@@ -10,10 +10,10 @@
 	"cardamomwick.example/core/routing"
 )
 
-// A call that reaches an instance before its declaration is served as soon as that
-// has come, and not before the servers are known too.
+// A call that arrives before the first declaration is served as soon as both the
+// declaration and the servers are known.
 func TestCallWaitsForTheFirstDeclaration(t *testing.T) {
-	w := newWorld(t, good)
+	w := newHarness(t, good)
 	var table atomic.Pointer[routing.Table]
 	w.router = New(Options{Protocol: testProtocol{}, Name: "entry", Table: table.Load, Entries: func() int { return 1 },
 		Retry: RetryLimits{Span: 10 * time.Second, Ratio: 0.2, Slack: 50}})
@@ -23,7 +23,7 @@
 	answered := make(chan reply, 1)
 	start := time.Now()
 	go func() { answered <- w.call("/safe/x") }()
-	w.router.SetFleet(nil) // nothing is known of the servers yet
+	w.router.SetFleet(nil) // no servers are known yet
 	time.Sleep(late)
 	table.Store(routing.NewTable(declared()))
 	w.router.SetFleet(w.fleet)
@@ -36,8 +36,8 @@
 	}
 }
 
-func TestCallIsRefusedAtOnceWithoutHope(t *testing.T) {
-	w := newWorld(t, good)
+func TestCallIsRefusedAtOnceLongAfterTheStart(t *testing.T) {
+	w := newHarness(t, good)
 	w.router = New(Options{Protocol: testProtocol{}, Name: "entry", Table: func() *routing.Table { return nil }, Entries: func() int { return 1 }})
 	w.router.started = time.Now().Add(-time.Minute)
 	w.front = httptest.NewServer(w.router)
--- a/daemon/router/watchdog.go
+++ b/daemon/router/watchdog.go
@@ -8,40 +8,40 @@
 	"cardamomwick.example/core/routing"
 )
 
-// Limits of a server's silence, as multiples of what the operator wants. They
-// answer servers that take calls and never answer, and connections that go
-// silent without a reset: a call that may be repeated then goes elsewhere while
-// its caller still waits.
+// Limits on a server's silence, as multiples of the declared targets. They cover
+// servers that accept calls and never answer, and connections that go silent without a
+// reset: a call that may be retried then goes to another server while its caller still
+// waits.
 const (
-	// plainSilence of the target is waited for an idempotent call's answer.
-	plainSilence = 1.3
-	// firstSilence of the target is waited for a stream's first event, and on top
-	// twice the time that the server needs for what it had to read before.
-	firstSilence = 2.5
-	aheadSilence = 2
-	// gapSilence of the longest pause is waited between two events.
-	gapSilence = 4
-	// leastSilence bounds all of them from below.
-	leastSilence = 250 * time.Millisecond
+	// answerSilenceFactor multiplies the target latency for an idempotent call's answer.
+	answerSilenceFactor = 1.3
+	// firstEventSilenceFactor multiplies the target latency for a stream's first event;
+	// prefillSilenceFactor times the estimated prefill time ahead of it is added.
+	firstEventSilenceFactor = 2.5
+	prefillSilenceFactor    = 2
+	// gapSilenceFactor multiplies the target gap between two events.
+	gapSilenceFactor = 4
+	// minSilenceTimeout is the lower bound of all of them.
+	minSilenceTimeout = 250 * time.Millisecond
 )
 
-// watchdog ends an attempt whose server is silent, if the call may be sent
-// again and the retry budget has room.
+// watchdog cancels an attempt whose server is silent, if the call may be retried and
+// the retry budget allows it.
 type watchdog struct {
 	timer *time.Timer
-	// fired: the attempt was ended, and the next one is paid for.
+	// fired is set when the attempt was cancelled and its retry taken from the budget.
 	fired atomic.Bool
 }
 
-// watch arms a watchdog for the call's next attempt; nil when the call may not
-// be sent once more.
-func (c *call) watch(end context.CancelFunc) *watchdog {
+// startWatchdog starts a watchdog for the call's next attempt. It returns nil if the
+// call may not be retried after it.
+func (c *call) startWatchdog(end context.CancelFunc) *watchdog {
 	if !c.route.Repeatable() || c.runs+1 >= c.route.MaxAttempts || c.route.TargetLatency <= 0 {
 		return nil
 	}
 	d := &watchdog{}
-	d.timer = time.AfterFunc(c.firstLimit(), func() {
-		if time.Until(c.until) > leastTime && c.router.takeRepeat(c.pool.Name) {
+	d.timer = time.AfterFunc(c.firstSilenceTimeout(), func() {
+		if time.Until(c.deadline) > minRemaining && c.router.takeRetry(c.pool.Name) {
 			d.fired.Store(true)
 			end()
 		}
@@ -49,25 +49,25 @@
 	return d
 }
 
-// firstLimit is how long the server may be silent at first.
-func (c *call) firstLimit() time.Duration {
+// firstSilenceTimeout is how long the server may take until its answer or first event.
+func (c *call) firstSilenceTimeout() time.Duration {
 	target := float64(c.route.TargetLatency)
 	if c.route.Semantics != routing.Stream {
-		return max(leastSilence, time.Duration(plainSilence*target))
+		return max(minSilenceTimeout, time.Duration(answerSilenceFactor*target))
 	}
-	return max(leastSilence, time.Duration(firstSilence*target)+aheadSilence*c.router.readingTime(c))
+	return max(minSilenceTimeout, time.Duration(firstEventSilenceFactor*target)+prefillSilenceFactor*c.router.prefillTime(c))
 }
 
-// event notes that the server has sent an event.
-func (d *watchdog) event(gap time.Duration) {
+// reset restarts the timer after an event.
+func (d *watchdog) reset(gap time.Duration) {
 	if d != nil && gap > 0 && !d.fired.Load() {
-		d.timer.Reset(max(leastSilence, gapSilence*gap))
+		d.timer.Reset(max(minSilenceTimeout, gapSilenceFactor*gap))
 	}
 }
 
 func (d *watchdog) hasFired() bool { return d != nil && d.fired.Load() }
 
-// stop ends the watch and reports whether it has ended the attempt.
+// stop stops the watchdog and reports whether it has cancelled the attempt.
 func (d *watchdog) stop() bool {
 	if d == nil {
 		return false
@@ -76,8 +76,8 @@
 	return d.hasFired()
 }
 
-// readingTime estimates how long the server reads before the call's first event.
-func (r *Router) readingTime(c *call) time.Duration {
+// prefillTime estimates how long the server reads prompts before the call's first event.
+func (r *Router) prefillTime(c *call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.balancer.PrefillTime(c.pool.Name, c.ticket)
