--- a/daemon/cluster_test.go
+++ b/daemon/cluster_test.go
@@ -29,14 +29,14 @@
 // stubAdapter speaks no protocol: these tests call the instances directly.
 type stubAdapter struct{ control ControlAPI }
 
-func (*stubAdapter) Call(http.Header) upstream.Call           { return upstream.Call{} }
-func (*stubAdapter) Strip(http.Header)                        {}
-func (*stubAdapter) Stamp(http.Header, upstream.Stamp)        {}
-func (*stubAdapter) Answer(int, http.Header) upstream.Answer  { return upstream.Answer{} }
-func (*stubAdapter) SetRetryAfter(http.Header, time.Duration) {}
-func (*stubAdapter) Directory(Directory) http.Handler         { return http.NotFoundHandler() }
-func (*stubAdapter) Readiness(func() bool) http.Handler       { return http.NotFoundHandler() }
-func (*stubAdapter) Duties([]string) provider.Duties          { return provider.Duties{} }
+func (*stubAdapter) ParseCall(http.Header) upstream.Call              { return upstream.Call{} }
+func (*stubAdapter) StripReserved(http.Header)                        {}
+func (*stubAdapter) SetCallHeaders(http.Header, upstream.CallHeaders) {}
+func (*stubAdapter) ParseAnswer(int, http.Header) upstream.Answer     { return upstream.Answer{} }
+func (*stubAdapter) SetRetryAfter(http.Header, time.Duration)         {}
+func (*stubAdapter) Directory(Directory) http.Handler                 { return http.NotFoundHandler() }
+func (*stubAdapter) Readiness(func() bool) http.Handler               { return http.NotFoundHandler() }
+func (*stubAdapter) Duties([]string) provider.Duties                  { return provider.Duties{} }
 func (*stubAdapter) UsageReport(provider.Call, coreusage.Record) (*http.Request, error) {
 	return nil, errors.New("no provider")
 }
--- a/daemon/router/answer.go
+++ b/daemon/router/answer.go
@@ -24,7 +24,7 @@
 	c.runs++
 	success := resp.Status >= 200 && resp.Status < 300
 	if success && (!resp.Answer.Signed || resp.Answer.CallID != c.info.ID || resp.Header.Get("Content-Encoding") != "") {
-		c.last = &upstream.Error{Sent: true, Step: "check answer", Server: s.ID, Err: errors.New("the answer is not this call's")}
+		c.last = &upstream.Error{MayHaveRun: true, Step: "check answer", Server: s.ID, Err: errors.New("the answer is not this call's")}
 		c.router.recordFailure(s.ID, false)
 		return failed
 	}
@@ -66,7 +66,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		c.last = &upstream.Error{Sent: true, Reached: true, Step: "read answer", Server: s.ID, Err: err}
+		c.last = &upstream.Error{MayHaveRun: true, Reached: true, Step: "read answer", Server: s.ID, Err: err}
 		c.reportBroken(ctx, s, c.last)
 		if time.Now().Before(c.deadline) && c.req.Context().Err() == nil {
 			c.router.recordFailure(s.ID, false)
--- a/daemon/router/call.go
+++ b/daemon/router/call.go
@@ -79,8 +79,8 @@
 
 func (c *call) serve() {
 	c.deadline = c.arrived.Add(c.route.Timeout)
-	if c.info.Patience > 0 {
-		c.deadline = minTime(c.deadline, c.arrived.Add(c.info.Patience))
+	if c.info.Timeout > 0 {
+		c.deadline = minTime(c.deadline, c.arrived.Add(c.info.Timeout))
 	}
 	ctx, cancel := context.WithDeadline(c.req.Context(), c.deadline)
 	defer cancel()
@@ -224,7 +224,7 @@
 func (c *call) recordError(ctx context.Context, s fleet.Server, err error) attemptResult {
 	var e *upstream.Error
 	if !errors.As(err, &e) {
-		e = &upstream.Error{Sent: true, Step: "send", Server: s.ID, Err: err}
+		e = &upstream.Error{MayHaveRun: true, Step: "send", Server: s.ID, Err: err}
 	}
 	c.last = e
 	c.reportBroken(ctx, s, e)
@@ -233,7 +233,7 @@
 	if !errors.Is(e.Err, upstream.ErrConnections) && !callerLeft && inTime {
 		c.router.recordFailure(s.ID, !c.watchdog.hasFired())
 	}
-	if e.Sent {
+	if e.MayHaveRun {
 		c.runs++
 		return failed
 	}
--- a/daemon/router/request.go
+++ b/daemon/router/request.go
@@ -18,19 +18,19 @@
 // with the headers that only the system may set replaced.
 func (c *call) request(s fleet.Server) *upstream.Request {
 	h := endToEndHeaders(c.req.Header)
-	c.router.opt.Protocol.Strip(h)
-	stamp := upstream.Stamp{TimeLeft: time.Until(c.deadline), ServerName: s.StableName(), After: c.info.After}
+	c.router.opt.Protocol.StripReserved(h)
+	headers := upstream.CallHeaders{TimeLeft: time.Until(c.deadline), ServerName: s.StableName(), LastEventID: c.info.LastEventID}
 	if c.customer != nil {
-		stamp.Customer = c.customer.Name
+		headers.Customer = c.customer.Name
 	}
 	if c.pool.Engine != nil {
 		priority := c.priority()
-		stamp.Priority = &priority
+		headers.Priority = &priority
 	}
 	if c.stream != nil && c.stream.lastID != "" {
-		stamp.After = c.stream.lastID
+		headers.LastEventID = c.stream.lastID
 	}
-	c.router.opt.Protocol.Stamp(h, stamp)
+	c.router.opt.Protocol.SetCallHeaders(h, headers)
 	hasBody := len(c.body) > 0 || c.req.Method == http.MethodPost || c.req.Method == http.MethodPut
 	return &upstream.Request{CallID: c.info.ID, Method: c.req.Method, URI: requestURI(c.req), Host: c.req.Host,
 		Header: h, Body: c.body, HasBody: hasBody}
@@ -62,7 +62,7 @@
 // instance or the caller ended are no evidence about the server.
 func (c *call) reportBroken(ctx context.Context, s fleet.Server, e *upstream.Error) {
 	startedAgain := errors.Is(context.Cause(ctx), errServerRestarted)
-	if e.Sent && (startedAgain || ctx.Err() == nil && isConnectionError(e)) {
+	if e.MayHaveRun && (startedAgain || ctx.Err() == nil && isConnectionError(e)) {
 		run := c.run(s)
 		run.Reached = e.Reached
 		c.router.opt.Quarantine.Broke(run, c.digest())
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -114,14 +114,14 @@
 	r.balancer.SetFleet(list)
 	r.mu.Unlock()
 	r.cancelSuperseded(before, list)
-	r.upstream.Forget(func(id string) bool { return !ready(list, id) })
+	r.upstream.CloseIdle(func(id string) bool { return !ready(list, id) })
 	r.Refresh()
 }
 
 // Refresh closes expired idle connections and, once a declaration is in force, releases
 // the calls that wait for it. Call it periodically, even if the servers don't change.
 func (r *Router) Refresh() {
-	r.upstream.Sweep()
+	r.upstream.CloseExpired()
 	if r.opt.Table() != nil {
 		r.warmUpOnce.Do(func() { close(r.warmedUp) })
 	}
@@ -201,7 +201,7 @@
 // accept reads the call and finds its route, customer and pool. If the call can't be
 // served, it sends the final answer and returns false.
 func (c *call) accept() bool {
-	c.info = c.router.opt.Protocol.Call(c.req.Header)
+	c.info = c.router.opt.Protocol.ParseCall(c.req.Header)
 	if !c.readBody(c.router.bodyLimit()) {
 		return false
 	}
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -24,25 +24,25 @@
 // testProtocol is a minimal upstream.Protocol.
 type testProtocol struct{}
 
-func (testProtocol) Call(h http.Header) upstream.Call {
-	patience, _ := strconv.Atoi(h.Get("Patience"))
-	return upstream.Call{ID: h.Get("Call"), Key: h.Get("Key"), After: h.Get("After"), Patience: time.Duration(patience) * time.Millisecond}
+func (testProtocol) ParseCall(h http.Header) upstream.Call {
+	timeout, _ := strconv.Atoi(h.Get("Timeout"))
+	return upstream.Call{ID: h.Get("Call"), Key: h.Get("Key"), LastEventID: h.Get("After"), Timeout: time.Duration(timeout) * time.Millisecond}
 }
 
-func (testProtocol) Strip(h http.Header) {
-	for _, name := range []string{"Key", "Customer", "Server", "Priority", "Patience"} {
+func (testProtocol) StripReserved(h http.Header) {
+	for _, name := range []string{"Key", "Customer", "Server", "Priority", "Timeout"} {
 		h.Del(name)
 	}
 }
 
-func (testProtocol) Stamp(h http.Header, s upstream.Stamp) {
-	h.Set("Patience", strconv.FormatInt(s.TimeLeft.Milliseconds(), 10))
+func (testProtocol) SetCallHeaders(h http.Header, s upstream.CallHeaders) {
+	h.Set("Timeout", strconv.FormatInt(s.TimeLeft.Milliseconds(), 10))
 	h.Set("Server", s.ServerName)
 	h.Set("Customer", s.Customer)
-	h.Set("After", s.After)
+	h.Set("After", s.LastEventID)
 }
 
-func (testProtocol) Answer(status int, h http.Header) upstream.Answer {
+func (testProtocol) ParseAnswer(status int, h http.Header) upstream.Answer {
 	a := upstream.Answer{CallID: h.Get("Call"), Signed: h.Get("Signature") != "", NotRun: h.Get("Not-Run") != "", WrongServer: status == http.StatusMisdirectedRequest}
 	if value := h.Get("Limit"); value != "" {
 		perSecond, err := strconv.ParseFloat(value, 64)
@@ -169,7 +169,7 @@
 	if w.last.Get("Customer") != "ana" || w.last.Get("Key") != "" || w.last.Get("Priority") != "" || w.last.Get("Server") != "s0" {
 		t.Errorf("the server got %v", w.last)
 	}
-	if left, _ := strconv.Atoi(w.last.Get("Patience")); left <= 0 || left > 700 {
+	if left, _ := strconv.Atoi(w.last.Get("Timeout")); left <= 0 || left > 700 {
 		t.Errorf("the server may take %d ms of a timeout of 700", left)
 	}
 }
@@ -231,7 +231,7 @@
 		t.Errorf("answered after %v, the timeout is 700ms", took)
 	}
 	began = time.Now()
-	w.expect(w.call("/once/x", "Patience", "200"), 504, 2)
+	w.expect(w.call("/once/x", "Timeout", "200"), 504, 2)
 	if took := time.Since(began); took > 600*time.Millisecond {
 		t.Errorf("a caller with 200 ms waited for %v", took)
 	}
--- a/daemon/router/stream.go
+++ b/daemon/router/stream.go
@@ -64,7 +64,7 @@
 // caller has everything up to lastID, from where another server may resume.
 func (c *call) forwardStream(ctx context.Context, s fleet.Server, resp *upstream.Response) attemptResult {
 	if c.stream == nil {
-		c.stream = &streamState{lastID: c.info.After}
+		c.stream = &streamState{lastID: c.info.LastEventID}
 	}
 	events := bufio.NewReaderSize(resp.Body, eventBufferBytes)
 	for first := true; ; first = false {
@@ -85,7 +85,7 @@
 			return callerGone
 		}
 		if err != nil {
-			c.last = &upstream.Error{Sent: true, Reached: true, Step: "read stream", Server: s.ID, Err: err}
+			c.last = &upstream.Error{MayHaveRun: true, Reached: true, Step: "read stream", Server: s.ID, Err: err}
 			c.reportBroken(ctx, s, c.last)
 			if ctx.Err() == nil {
 				c.router.recordFailure(s.ID, false)
--- a/daemon/router/warmup.go
+++ b/daemon/router/warmup.go
@@ -24,7 +24,7 @@
 		return r.opt.Table()
 	default:
 	}
-	wait, ok := r.enterWarmup(len(c.body), c.info.Patience)
+	wait, ok := r.enterWarmup(len(c.body), c.info.Timeout)
 	if !ok {
 		return nil
 	}
--- a/daemon/upstream/conn.go
+++ b/daemon/upstream/conn.go
@@ -9,28 +9,28 @@
 
 // Timing of connections.
 const (
-	// dialTimeout: a handshake takes a few milliseconds; a server that takes
-	// longer is dark, and another one can still be asked, since nothing was sent.
+	// dialTimeout bounds a TCP handshake, which usually takes a few milliseconds. After
+	// a timeout another server can be asked, since nothing was sent.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout ends a connection whose peer acknowledges nothing, a partition
-	// for example, where no reset ever comes.
+	// userTimeout closes a connection whose peer acknowledges nothing, for example in
+	// a network partition, where no reset ever arrives.
 	userTimeout       = 1500 * time.Millisecond
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 3
-	// defaultIdle is how long an idle connection is used when the server does
-	// not say.
-	defaultIdle = 4 * time.Second
-	// idleShare of the time that the server says is used, so that a call never
-	// crosses the server's close.
-	idleShare = 0.75
-	// leastRest is the rest from which a reset tells that the server forgets idle
-	// connections, restShare of it is used from then on, for restMemory.
-	leastRest  = 100 * time.Millisecond
-	restShare  = 0.5
-	restMemory = 15 * time.Second
-	// readBuffer holds an answer's headers and some events.
-	readBuffer = 8 << 10
+	// defaultKeepAlive is assumed for servers that send no keep-alive time.
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveShare is the fraction of the server's keep-alive time within which an idle
+	// connection is reused, so that a call does not race with the server's close.
+	keepAliveShare = 0.75
+	// A reset after at least minResetIdle of idle time is taken as a sign that idle
+	// connections are dropped. For idleLimitTTL after it, connections are reused only
+	// within resetIdleShare of that idle time.
+	minResetIdle   = 100 * time.Millisecond
+	resetIdleShare = 0.5
+	idleLimitTTL   = 15 * time.Second
+	// readBufferBytes fits an answer's headers and some events.
+	readBufferBytes = 8 << 10
 )
 
 // tcpUserTimeout is Linux's TCP_USER_TIMEOUT socket option.
@@ -40,15 +40,14 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// usableUntil bounds the idle time.
+	// usableUntil is when the idle connection expires.
 	usableUntil time.Time
-	// restedSince is when the last call on the connection ended; zero before its
-	// first.
-	restedSince time.Time
+	// idleSince is when the last call on the connection ended; zero before the first.
+	idleSince time.Time
 }
 
 // used reports whether the connection has carried an answer.
-func (c *conn) used() bool { return !c.restedSince.IsZero() }
+func (c *conn) used() bool { return !c.idleSince.IsZero() }
 
 func dial(address string, timeout time.Duration) (*conn, error) {
 	d := net.Dialer{Timeout: timeout, Control: setUserTimeout,
@@ -57,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
@@ -71,9 +70,9 @@
 	return failed
 }
 
-// quiet reports whether nothing has come on an idle connection: neither its
-// end nor bytes that belong to no call.
-func (c *conn) quiet() bool {
+// isSilent reports whether nothing has arrived on an idle connection: neither its end
+// nor bytes that belong to no call.
+func (c *conn) isSilent() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -85,37 +84,37 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	silent := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		silent = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && silent
 }
 
-// rest is how long connections may rest. It answers servers, or what stands
-// before them, that forget idle connections without a word: the next call on such
-// a connection is lost, and may not be sent again where it might have run.
-type rest struct {
-	most  time.Duration
-	until time.Time
+// idleLimit is a learned limit on connections' idle time. It covers servers, or network
+// devices before them, that drop idle connections without closing them: the next call on
+// such a connection is lost, and may not be retried where it might have run.
+type idleLimit struct {
+	limit time.Duration
+	until time.Time // when the limit expires
 }
 
-// note takes the failure of a call on a connection that had rested.
-func (r *rest) note(now time.Time, rested time.Duration) {
-	if rested < leastRest {
+// recordReset lowers the limit after a reset of a connection that had been idle.
+func (r *idleLimit) recordReset(now time.Time, idle time.Duration) {
+	if idle < minResetIdle {
 		return
 	}
-	most := time.Duration(restShare * float64(rested))
-	if r.most == 0 || now.After(r.until) || most < r.most {
-		r.most = most
+	limit := time.Duration(resetIdleShare * float64(idle))
+	if r.limit == 0 || now.After(r.until) || limit < r.limit {
+		r.limit = limit
 	}
-	r.until = now.Add(restMemory)
+	r.until = now.Add(idleLimitTTL)
 }
 
-// allows reports whether a connection that has rested so long may be used.
-func (r *rest) allows(now time.Time, rested time.Duration) bool {
-	return r.most == 0 || now.After(r.until) || rested <= r.most
+// allows reports whether a connection may be used after this idle time.
+func (r *idleLimit) allows(now time.Time, idle time.Duration) bool {
+	return r.limit == 0 || now.After(r.until) || idle <= r.limit
 }
--- a/daemon/upstream/protocol.go
+++ b/daemon/upstream/protocol.go
@@ -7,79 +7,78 @@
 	"cardamomwick.example/core/ratelimit"
 )
 
-// Protocol is how routed calls are spoken of in HTTP headers, towards callers
-// and backend servers. An adapter provides it.
+// Protocol maps routed calls to the HTTP headers of callers and backend servers. The
+// platform's adapter implements it.
 type Protocol interface {
-	// Call reads a caller's headers.
-	Call(h http.Header) Call
-	// Strip removes the headers that only the system may set, and the key.
-	Strip(h http.Header)
-	// Stamp sets the headers that the system adds for a backend server.
-	Stamp(h http.Header, s Stamp)
-	// Answer reads a backend server's headers.
-	Answer(status int, h http.Header) Answer
-	// SetRetryAfter tells a caller when to come back.
+	// ParseCall reads a caller's headers.
+	ParseCall(h http.Header) Call
+	// StripReserved removes the caller's key and the headers that only the system may set.
+	StripReserved(h http.Header)
+	// SetCallHeaders sets the headers that the system adds for a backend server.
+	SetCallHeaders(h http.Header, s CallHeaders)
+	// ParseAnswer reads a backend server's headers.
+	ParseAnswer(status int, h http.Header) Answer
+	// SetRetryAfter sets the time after which a caller may retry.
 	SetRetryAfter(h http.Header, after time.Duration)
 }
 
-// Call is what a caller's headers say.
+// Call holds a caller's headers.
 type Call struct {
-	// ID identifies this attempt of the caller; each has its own.
+	// ID is unique for each request of the caller, its retries included.
 	ID string
-	// Patience is how long the caller waits; zero where it does not say.
-	Patience time.Duration
-	Key      string
-	Prompt   Prompt
-	// After is the last event of the stream that the caller has, "" for none.
-	After string
+	// Timeout is how long the caller waits; zero if it is not given.
+	Timeout time.Duration
+	Key     string
+	Prompt  Prompt
+	// LastEventID is the last event of the stream that the caller has, "" for none.
+	LastEventID string
 }
 
-// Prompt is what is known of a model call's size.
+// Prompt describes the size of a model call.
 type Prompt struct {
 	Model string
-	// Tokens is the prompt's length, MaxOutput the most that may be generated.
+	// Tokens is the prompt's length, MaxOutput the maximum of generated tokens.
 	Tokens, MaxOutput int
-	// Parts lead the prompt in this order; the last one is the call's own.
+	// Parts are the prompt's parts in order; the last one belongs to this call alone.
 	Parts []Part
 }
 
-// Part is a piece of a prompt that other calls may share.
+// Part is a part of a prompt that other calls may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Stamp is what the system tells a backend server about a call.
-type Stamp struct {
+// CallHeaders is what the system tells a backend server about a call.
+type CallHeaders struct {
 	TimeLeft time.Duration
-	// ServerName is the server that is meant; another one at the same address
-	// refuses.
+	// ServerName is the intended server; another one at the same address refuses the
+	// call.
 	ServerName string
 	// Customer is empty on public routes.
 	Customer string
-	// Priority is 0 to 9, 0 first; nil leaves the server's default.
+	// Priority is 0 (highest) to 9; nil selects the server's default.
 	Priority *int
-	// After resumes a stream behind this event.
-	After string
+	// LastEventID resumes a stream after this event.
+	LastEventID string
 }
 
-// Answer is what a backend server's headers say.
+// Answer holds a backend server's headers.
 type Answer struct {
-	// CallID names the call that is answered; empty when the server does not say.
+	// CallID is the ID of the answered call; empty if it is not given.
 	CallID string
-	// Signed answers bear the server's signature.
+	// Signed is set if the answer has the server's signature.
 	Signed bool
-	// NotRun: the server states that it did not run the call.
+	// NotRun is set if the server states that it did not run the call.
 	NotRun bool
-	// WrongServer: another server has the address now.
+	// WrongServer is set if another server has the address now.
 	WrongServer bool
-	// Load is nil when the server does not tell it.
+	// Load is nil if it is not given.
 	Load *Load
-	// KeepAlive is how long the server keeps an idle connection; zero when it
-	// does not say.
+	// KeepAlive is how long the server keeps an idle connection; zero if it is not given.
 	KeepAlive time.Duration
-	// Limit is the request rate that the server asks for; BadLimit: it names one that
-	// can't be read.
+	// Limit is the request rate that the server asks for. BadLimit is set if the server
+	// names one that can't be read.
 	Limit    ratelimit.Limit
 	BadLimit bool
 }
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream speaks HTTP/1.1 to backend servers for routed calls. It
-// sends each call once: nothing is repeated on its own. Every failure says
-// whether the call may have run. Answers are matched by the call's ID, and a
-// connection that carried anything unexpected is not used again.
+// Package upstream is an HTTP/1.1 client to backend servers for routed calls. It
+// sends each call once and never retries by itself. Every error says whether the
+// call may have run. Answers are matched by the call's ID, and a connection that
+// carried anything unexpected is not reused.
 package upstream
 
 import (
@@ -38,26 +38,26 @@
 	// MaxConnections bounds this instance's connections to the server; zero means
 	// no bound.
 	MaxConnections int
-	// CloseAfterUse: connections are not kept for the next call, since the server takes
-	// fewer of them than there are instances.
+	// CloseAfterUse closes connections after each call. It is set where the server accepts
+	// fewer connections than there are instances.
 	CloseAfterUse bool
 }
 
 // Error is a failed attempt.
 type Error struct {
-	// Sent: the call may have run. False is certain.
-	Sent bool
-	// Reached: the server's process was there. Its answer had begun, or the connection had
-	// carried an answer before; a new connection may have met something else that listens
-	// for a server that has ended.
+	// MayHaveRun is false only if the call certainly did not run.
+	MayHaveRun bool
+	// Reached is set if the call certainly reached the server's process: the answer had
+	// begun, or the connection had carried an answer before. A new connection may have
+	// been accepted by something else that listens in place of a server that has ended.
 	Reached bool
-	// Step tells what failed, Server where.
+	// Step is the operation that failed.
 	Step   string
 	Server string
 	Err    error
 }
 
-// Error names step, server and cause.
+// Error returns step, server and cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s at backend server %s: %v", e.Step, e.Server, e.Err)
 }
@@ -65,31 +65,30 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Errors inside an *Error.
+// Causes of an *Error.
 var (
-	// ErrConnections: this instance's share of the server's connections is in use.
-	ErrConnections = errors.New("no connection is free")
-	errForeign     = errors.New("the connection carries answers of other calls")
+	// ErrConnections means that this instance's share of the server's connections is in use.
+	ErrConnections    = errors.New("no connection is free")
+	errForeignAnswers = errors.New("the connection carries answers of other calls")
 )
 
-// maxForeign bounds the answers of other calls that are skipped on one
-// connection.
-const maxForeign = 2
+// maxForeignAnswers bounds the answers to other calls that are skipped while waiting
+// for one.
+const maxForeignAnswers = 2
 
-// bigBody is the size from which the body is written while the answer is
-// already awaited: a server may refuse a long call before it has read it.
-const bigBody = 16 << 10
+// asyncBodyBytes is the size from which the body is written while the client already
+// waits for the answer: a server may refuse a long call before it has read it.
+const asyncBodyBytes = 16 << 10
 
 // Client holds the connections to all backend servers. Safe for concurrent use.
 type Client struct {
 	protocol Protocol
 	mu       sync.Mutex
 	servers  map[string]*server
-	// dialled counts new connections.
-	dialled int64
-	// rest is learned at one server and holds for all: servers behind the same
+	dialled  int64
+	// idleLimit is learned from one server and applied to all, since servers in the same
 	// network lose their connections alike.
-	rest rest
+	idleLimit idleLimit
 }
 
 type server struct {
@@ -102,14 +101,14 @@
 	return &Client{protocol: p, servers: map[string]*server{}}
 }
 
-// Dialled returns how many connections were made.
+// Dialled returns the number of connections that were dialled, failed ones included.
 func (c *Client) Dialled() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dialled
 }
 
-// Response is an answer whose body is still to be read. Close it.
+// Response is an answer whose body is still to be read. The caller must close it.
 type Response struct {
 	Status int
 	Header http.Header
@@ -118,20 +117,20 @@
 	Length int64
 	Body   io.Reader
 
-	client  *Client
-	target  Target
-	conn    *conn
-	close   bool
-	raw     io.Closer
-	stop    func() bool
-	written <-chan error
-	whole   bool
+	client   *Client
+	target   Target
+	conn     *conn
+	close    bool
+	raw      io.Closer
+	stop     func() bool
+	written  <-chan error
+	complete bool
 }
 
-// Send sends a call and returns the answer's head. The context's end closes
-// the connection, at any time until the response is closed.
+// Send sends a call and returns once the answer's headers have arrived. The end of the
+// context closes the connection, until the response is closed.
 func (c *Client) Send(ctx context.Context, t Target, r *Request) (*Response, error) {
-	cn, err := c.take(ctx, t)
+	cn, err := c.acquire(ctx, t)
 	if err != nil {
 		return nil, &Error{Step: "connect", Server: t.ID, Err: err}
 	}
@@ -140,37 +139,37 @@
 	written := make(chan error, 1)
 	if err := c.write(cn, r, written); err != nil {
 		stop()
-		c.noteRest(cn, sent, err)
-		c.drop(t, cn)
-		return nil, &Error{Sent: !errors.Is(err, errNothingWritten), Reached: cn.used(), Step: "send", Server: t.ID, Err: err}
+		c.recordReset(cn, sent, err)
+		c.discard(t, cn)
+		return nil, &Error{MayHaveRun: !errors.Is(err, errNothingWritten), Reached: cn.used(), Step: "send", Server: t.ID, Err: err}
 	}
 	resp, err := c.readHead(cn, t, r)
 	if err != nil {
 		stop()
-		c.noteRest(cn, sent, err)
-		c.drop(t, cn)
-		return nil, &Error{Sent: true, Reached: cn.used(), Step: "await answer", Server: t.ID, Err: err}
+		c.recordReset(cn, sent, err)
+		c.discard(t, cn)
+		return nil, &Error{MayHaveRun: true, Reached: cn.used(), Step: "await answer", Server: t.ID, Err: err}
 	}
 	resp.stop, resp.written = stop, written
 	return resp, nil
 }
 
-// noteRest learns from a reset in answer to a call on a connection that had
-// rested.
-func (c *Client) noteRest(cn *conn, sent time.Time, err error) {
+// recordReset updates the idle limit if a call failed with a reset on a connection that
+// had been idle.
+func (c *Client) recordReset(cn *conn, sent time.Time, err error) {
 	if !cn.used() || !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		return
 	}
-	rested := sent.Sub(cn.restedSince)
+	idle := sent.Sub(cn.idleSince)
 	c.mu.Lock()
-	c.rest.note(time.Now(), rested)
-	most := c.rest.most
+	c.idleLimit.recordReset(time.Now(), idle)
+	limit := c.idleLimit.limit
 	c.mu.Unlock()
-	log.WithFields(log.Fields{"step": "reuse connection", "peer": cn.RemoteAddr().String(), "rested_ms": rested.Milliseconds(), "most_ms": most.Milliseconds()}).
+	log.WithFields(log.Fields{"step": "reuse connection", "peer": cn.RemoteAddr().String(), "rested_ms": idle.Milliseconds(), "most_ms": limit.Milliseconds()}).
 		Info("connection was reset after a rest; shorter rests from now on")
 }
 
-// errNothingWritten: the connection took no byte of the call.
+// errNothingWritten means that no byte of the call was written to the connection.
 var errNothingWritten = errors.New("no byte was written")
 
 func (c *Client) write(cn *conn, r *Request, written chan<- error) error {
@@ -190,7 +189,7 @@
 		head.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
-	if len(r.Body) < bigBody {
+	if len(r.Body) < asyncBodyBytes {
 		head.Write(r.Body)
 		n, err := cn.Write(head.Bytes())
 		written <- err
@@ -214,9 +213,9 @@
 	return err
 }
 
-// readHead reads answers until one belongs to the call.
+// readHead reads answers' headers until one belongs to the call.
 func (c *Client) readHead(cn *conn, t Target, r *Request) (*Response, error) {
-	for foreign := 0; foreign <= maxForeign; {
+	for foreign := 0; foreign <= maxForeignAnswers; {
 		raw, err := http.ReadResponse(cn.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
@@ -224,7 +223,7 @@
 		if raw.StatusCode < http.StatusOK {
 			continue
 		}
-		a := c.protocol.Answer(raw.StatusCode, raw.Header)
+		a := c.protocol.ParseAnswer(raw.StatusCode, raw.Header)
 		if a.CallID != "" && a.CallID != r.CallID {
 			foreign++
 			if _, err := io.Copy(io.Discard, raw.Body); err != nil {
@@ -232,49 +231,49 @@
 			}
 			continue
 		}
-		spoiled := foreign > 0 || raw.Close || raw.ContentLength < 0 && len(raw.TransferEncoding) == 0
+		mustClose := foreign > 0 || raw.Close || raw.ContentLength < 0 && len(raw.TransferEncoding) == 0
 		resp := &Response{Status: raw.StatusCode, Header: raw.Header, Answer: a, Length: raw.ContentLength,
-			client: c, target: t, conn: cn, close: spoiled, raw: raw.Body}
-		resp.Body = &wholeReader{r: raw.Body, whole: &resp.whole}
+			client: c, target: t, conn: cn, close: mustClose, raw: raw.Body}
+		resp.Body = &eofReader{r: raw.Body, complete: &resp.complete}
 		return resp, nil
 	}
-	return nil, errForeign
+	return nil, errForeignAnswers
 }
 
-// wholeReader notes when the body has been read to its proper end.
-type wholeReader struct {
-	r     io.Reader
-	whole *bool
+// eofReader sets complete when the body has been read to its end.
+type eofReader struct {
+	r        io.Reader
+	complete *bool
 }
 
-func (w *wholeReader) Read(p []byte) (int, error) {
+func (w *eofReader) Read(p []byte) (int, error) {
 	n, err := w.r.Read(p)
 	if err == io.EOF {
-		*w.whole = true
+		*w.complete = true
 	}
 	return n, err
 }
 
-// Close gives the connection back if the whole answer was read and nothing
-// else has happened on it; otherwise the connection is closed, which ends the
+// Close keeps the connection for reuse if the whole answer was read and nothing
+// unexpected happened on it. Otherwise it closes the connection, which ends the
 // server's work on the call.
 func (r *Response) Close() {
 	alive := r.stop()
-	if !alive || !r.whole || r.close || r.target.CloseAfterUse || !r.bodyWritten() || r.conn.reader.Buffered() > 0 {
-		r.client.drop(r.target, r.conn)
+	if !alive || !r.complete || r.close || r.target.CloseAfterUse || !r.bodyWritten() || r.conn.reader.Buffered() > 0 {
+		r.client.discard(r.target, r.conn)
 		return
 	}
-	idle := defaultIdle
+	idle := defaultKeepAlive
 	if r.Answer.KeepAlive > 0 {
 		idle = r.Answer.KeepAlive
 	}
-	r.conn.usableUntil = time.Now().Add(time.Duration(float64(idle) * idleShare))
-	r.conn.restedSince = time.Now()
-	r.client.put(r.target, r.conn)
+	r.conn.usableUntil = time.Now().Add(time.Duration(float64(idle) * keepAliveShare))
+	r.conn.idleSince = time.Now()
+	r.client.release(r.target, r.conn)
 }
 
-// bodyWritten reports whether the server has taken the whole call. One that
-// answered earlier still expects the rest, where another call must not stand.
+// bodyWritten reports whether the whole call was written. A server that answered
+// earlier still expects the rest, so that the connection can't carry another call.
 func (r *Response) bodyWritten() bool {
 	select {
 	case err := <-r.written:
@@ -284,15 +283,15 @@
 	}
 }
 
-// take returns an idle connection, the last used first, or a new one.
-func (c *Client) take(ctx context.Context, t Target) (*conn, error) {
+// acquire returns the most recently used idle connection, or a new one.
+func (c *Client) acquire(ctx context.Context, t Target) (*conn, error) {
 	c.mu.Lock()
 	s := c.server(t.ID)
 	for len(s.idle) > 0 {
 		cn := s.idle[len(s.idle)-1]
 		s.idle = s.idle[:len(s.idle)-1]
 		now := time.Now()
-		if now.Before(cn.usableUntil) && c.rest.allows(now, now.Sub(cn.restedSince)) && cn.quiet() {
+		if now.Before(cn.usableUntil) && c.idleLimit.allows(now, now.Sub(cn.idleSince)) && cn.isSilent() {
 			c.mu.Unlock()
 			return cn, nil
 		}
@@ -306,7 +305,7 @@
 	s.open++
 	c.dialled++
 	c.mu.Unlock()
-	cn, err := dial(t.Address, dialBound(ctx))
+	cn, err := dial(t.Address, boundedDialTimeout(ctx))
 	if err != nil {
 		c.mu.Lock()
 		s.open--
@@ -316,7 +315,7 @@
 	return cn, nil
 }
 
-func dialBound(ctx context.Context) time.Duration {
+func boundedDialTimeout(ctx context.Context) time.Duration {
 	if until, ok := ctx.Deadline(); ok {
 		return max(time.Millisecond, min(dialTimeout, time.Until(until)))
 	}
@@ -332,22 +331,22 @@
 	return s
 }
 
-func (c *Client) put(t Target, cn *conn) {
+func (c *Client) release(t Target, cn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(t.ID)
 	s.idle = append(s.idle, cn)
 }
 
-func (c *Client) drop(t Target, cn *conn) {
+func (c *Client) discard(t Target, cn *conn) {
 	cn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.server(t.ID).open--
 }
 
-// Forget closes the idle connections to servers that are gone.
-func (c *Client) Forget(gone func(id string) bool) {
+// CloseIdle closes the idle connections to the servers for which gone returns true.
+func (c *Client) CloseIdle(gone func(id string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, s := range c.servers {
@@ -365,8 +364,8 @@
 	}
 }
 
-// Sweep closes connections that have been idle too long.
-func (c *Client) Sweep() {
+// CloseExpired closes connections that have been idle for too long.
+func (c *Client) CloseExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
--- a/daemon/upstream/upstream_test.go
+++ b/daemon/upstream/upstream_test.go
@@ -16,18 +16,18 @@
 	"cardamomwick.example/daemon/internal/testport"
 )
 
-// plainProtocol names the call in one header, as an adapter would.
+// plainProtocol carries the call ID in one header.
 type plainProtocol struct{}
 
-func (plainProtocol) Call(h http.Header) Call                  { return Call{ID: h.Get("Call")} }
-func (plainProtocol) Strip(http.Header)                        {}
-func (plainProtocol) Stamp(http.Header, Stamp)                 {}
+func (plainProtocol) ParseCall(h http.Header) Call             { return Call{ID: h.Get("Call")} }
+func (plainProtocol) StripReserved(http.Header)                {}
+func (plainProtocol) SetCallHeaders(http.Header, CallHeaders)  {}
 func (plainProtocol) SetRetryAfter(http.Header, time.Duration) {}
-func (plainProtocol) Answer(_ int, h http.Header) Answer {
+func (plainProtocol) ParseAnswer(_ int, h http.Header) Answer {
 	return Answer{CallID: h.Get("Call"), Signed: true}
 }
 
-// script is what a scripted server does with each connection.
+// script is a scripted server's handling of one connection.
 type script func(conn net.Conn, requests *bufio.Reader)
 
 func serve(t *testing.T, s script) Target {
@@ -52,7 +52,7 @@
 	return Target{ID: "s", Address: l.Addr().String()}
 }
 
-// readCall reads one request and returns its call ID; "" at the end.
+// readCall reads one request and returns its call ID, or "" when the connection ends.
 func readCall(r *bufio.Reader) string {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -102,16 +102,16 @@
 func TestNothingIsSentWhereNobodyListens(t *testing.T) {
 	_, err := send(t, NewClient(plainProtocol{}), Target{ID: "s", Address: testport.Reserve(t)}, "a", "x")
 	var e *Error
-	if !errors.As(err, &e) || e.Sent {
+	if !errors.As(err, &e) || e.MayHaveRun {
 		t.Errorf("got %v; want certainty that nothing was sent", err)
 	}
 }
 
-func TestBrokenConnectionLeavesOpenWhetherTheCallRan(t *testing.T) {
+func TestCallOnABrokenConnectionMayHaveRun(t *testing.T) {
 	target := serve(t, func(_ net.Conn, r *bufio.Reader) { readCall(r) })
 	_, err := send(t, NewClient(plainProtocol{}), target, "a", "x")
 	var e *Error
-	if !errors.As(err, &e) || !e.Sent {
+	if !errors.As(err, &e) || !e.MayHaveRun {
 		t.Errorf("got %v; the call may have run", err)
 	}
 }
@@ -155,7 +155,8 @@
 	}
 }
 
-// A server may refuse a long call before it has read it, and reads on later.
+// A server may refuse a long call before it has read it. The connection, where the
+// server still expects the rest of the body, must not be reused.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	target := serve(t, func(conn net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
@@ -183,7 +184,7 @@
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nCall: %s\r\n%s\r\n\r\n5\r\nshort\r\n", id, head)
 		})
 		if got, err := send(t, NewClient(plainProtocol{}), target, "a", "x"); err == nil {
-			t.Errorf("%s: the truncated answer %q passed for whole", name, got)
+			t.Errorf("%s: the truncated answer %q was taken as complete", name, got)
 		}
 	}
 }
@@ -205,7 +206,7 @@
 		}
 	})
 	if got, err := send(t, NewClient(plainProtocol{}), reset, "a", "x"); err == nil {
-		t.Errorf("the answer %q, cut by a reset, passed for whole", got)
+		t.Errorf("the answer %q, cut by a reset, was taken as complete", got)
 	}
 }
 
@@ -222,10 +223,10 @@
 	}
 }
 
-// A server that forgets connections which rest, and resets what comes on them:
-// one call is lost, and from then on connections that have rested are not used.
-func TestForgottenConnectionsAreUsedOnce(t *testing.T) {
-	forgets := leastRest + 50*time.Millisecond
+// A server drops idle connections and resets what arrives on them. One call is lost, and
+// from then on connections that have been idle for as long are not reused.
+func TestDroppedIdleConnectionsAreUsedOnce(t *testing.T) {
+	dropAfter := minResetIdle + 50*time.Millisecond
 	target := serve(t, func(conn net.Conn, requests *bufio.Reader) {
 		id := readCall(requests)
 		answer(conn, id, "x")
@@ -234,7 +235,7 @@
 			if _, err := requests.Peek(1); err != nil {
 				return
 			}
-			if time.Since(answered) >= forgets {
+			if time.Since(answered) >= dropAfter {
 				_ = conn.(*net.TCPConn).SetLinger(0)
 				return
 			}
@@ -248,10 +249,10 @@
 		if _, err := send(t, c, target, fmt.Sprint("call-", i), ""); err != nil {
 			lost++
 		}
-		time.Sleep(forgets)
+		time.Sleep(dropAfter)
 	}
 	if lost != 1 {
-		t.Errorf("%d of 6 calls were lost, want the first one on a forgotten connection", lost)
+		t.Errorf("%d of 6 calls were lost, want the first one on a dropped connection", lost)
 	}
 }
 
@@ -293,7 +294,7 @@
 	time.Sleep(50 * time.Millisecond)
 	_, err := send(t, c, target, "b", "x")
 	var e *Error
-	if !errors.Is(err, ErrConnections) || !errors.As(err, &e) || e.Sent {
+	if !errors.Is(err, ErrConnections) || !errors.As(err, &e) || e.MayHaveRun {
 		t.Errorf("got %v, want ErrConnections, not sent", err)
 	}
 	close(release)
@@ -302,8 +303,8 @@
 	}
 }
 
-// FuzzAnswer feeds a server's bytes to the reading side: whatever comes, there
-// is an end, and a call never gets another one's answer.
+// FuzzAnswer feeds arbitrary bytes to readHead: it must return, and a call must never get
+// another one's answer.
 func FuzzAnswer(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nCall: a\r\nContent-Length: 2\r\n\r\nok")
 	f.Add("HTTP/1.1 200 OK\r\nCall: b\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nCall: a\r\n\r\n")
@@ -325,9 +326,9 @@
 	})
 }
 
-// Instances that each keep a connection, at a server that takes fewer connections than
-// there are instances, would lock each other out.
-func TestConnectionsThatInstancesCantKeepTogetherAreClosed(t *testing.T) {
+// At a server that accepts fewer connections than there are instances, instances that each
+// keep one would lock each other out.
+func TestConnectionIsClosedAfterUse(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	target := serve(t, func(conn net.Conn, r *bufio.Reader) {
 		answer(conn, readCall(r), "first")
