--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -90,7 +90,7 @@
 	}
 	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Judges: d.gossip.Entries})
 	d.entry = entry.New(entry.Options{Settings: s, Holder: d.holder, Gossip: d.gossip, Scheduler: d.slots,
-		Replicas: d.replicas, Metrics: d.metrics, Quarantine: d.keeper, Owner: self.Owner(), SpreadAnnouncements: experiment, IgnoreTiers: experiment})
+		Replicas: d.replicas, Metrics: d.metrics, Quarantine: d.keeper, Owner: self.Owner(), BroadcastAnnouncements: experiment, IgnoreTiers: experiment})
 	d.admin = &admin.Admin{Settings: s, Holder: d.holder, Gossip: d.gossip, Replicas: d.replicas, Transport: d.transport, Own: d.info}
 	d.admin.Register()
 	d.placement = &placement.Service{Owner: self.Owner(), Gossip: d.gossip, Holder: d.holder, Replicas: d.replicas, Servers: d.admin.ServerList}
@@ -175,7 +175,7 @@
 	d.gossip.SetDraining()
 	log.WithField("in_flight", d.entry.InFlight()).Info("draining")
 	time.Sleep(d.settings.Callers.AddressTTL.D() + leaveMargin)
-	d.entry.Refuse()
+	d.entry.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Tuned().DrainTimeout)
 	defer cancel()
 	if err := d.entry.Wait(ctx); err != nil {
--- a/daemon/entry/announce.go
+++ b/daemon/entry/announce.go
@@ -18,20 +18,22 @@
 	"cardamomwick.example/daemon/frame"
 )
 
-// Bounds on announcements.
 const (
 	maxAnnounceBytes = 64 << 10
 	maxSlots         = 4096
 	maxCacheEvents   = 512
 	maxAdapters      = 64
 	maxNameBytes     = 128
-	announceMillis   = 500
+	// announceIntervalMillis is the interval that servers are asked to announce at.
+	announceIntervalMillis = 500
+	// dispatcherCopies is the number of dispatchers that get an announcement: the pool's
+	// dispatcher and its successor.
 	dispatcherCopies = 2
 )
 
-var serverRE = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9_.:-]{0,63}$`)
+var serverIDPattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9_.:-]{0,63}$`)
 
-// Announcer takes backend servers' announcements and passes them on to the
+// Announcer receives backend servers' announcements and forwards them to the
 // dispatchers of their pools.
 type Announcer struct {
 	Entry     *Entry
@@ -51,25 +53,25 @@
 		return
 	}
 	pool, ok := cfg.Bundle.Pools[m.Pool]
-	if !ok || !tokenFits(r, pool) {
+	if !ok || !hasAnnounceToken(r, pool) {
 		writeError(w, notRun(http.StatusUnauthorized, api.ErrorUnknownCustomer, "the token does not belong to the pool"))
 		return
 	}
-	if err := check(&m); err != nil {
+	if err := validate(&m); err != nil {
 		writeError(w, notRun(http.StatusBadRequest, api.ErrorInvalidRequest, err.Error()))
 		return
 	}
-	if !a.Entry.holder.Fresh() || a.Entry.refusing.Load() {
+	if !a.Entry.holder.Fresh() || a.Entry.draining.Load() {
 		writeError(w, notRun(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this instance can't pass announcements on; use another address").
-			elsewhere(a.Entry.otherAddresses(m.ID)))
+			withAddresses(a.Entry.otherAddresses(m.ID)))
 		return
 	}
 	_, retired := cfg.Retired[m.ID]
-	a.spread(&m)
-	writeJSON(w, http.StatusOK, api.AnnouncementReply{Retired: retired, IntervalMillis: announceMillis, Addresses: a.Entry.addresses(m.Zone, m.ID)})
+	a.forward(&m)
+	writeJSON(w, http.StatusOK, api.AnnouncementReply{Retired: retired, IntervalMillis: announceIntervalMillis, Addresses: a.Entry.addresses(m.Zone, m.ID)})
 }
 
-func tokenFits(r *http.Request, pool bundle.Pool) bool {
+func hasAnnounceToken(r *http.Request, pool bundle.Pool) bool {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	sum := sha256.Sum256([]byte(token))
 	digest := hex.EncodeToString(sum[:])
@@ -81,8 +83,8 @@
 	return false
 }
 
-func check(m *api.Announcement) error {
-	if !serverRE.MatchString(m.ID) {
+func validate(m *api.Announcement) error {
+	if !serverIDPattern.MatchString(m.ID) {
 		return fmt.Errorf("id %q: up to 64 letters, digits and _ . : -", m.ID)
 	}
 	if ap, err := netip.ParseAddrPort(m.Address); err != nil || ap.Port() == 0 {
@@ -103,14 +105,14 @@
 	return nil
 }
 
-// spread sends the announcement to the pool's dispatcher and to the one that
-// would follow it, so that the next one knows the servers already.
-func (a *Announcer) spread(m *api.Announcement) {
+// forward sends the announcement to the pool's dispatcher and to its successor, so that
+// the latter knows the servers when it takes over.
+func (a *Announcer) forward(m *api.Announcement) {
 	msg := dispatcher.Announce{Pool: m.Pool, Server: dispatch.ServerInfo{ID: m.ID, Address: m.Address, Zone: m.Zone, Slots: m.Slots,
 		Running: m.Running, Queued: m.Queued, RequestsPerSecond: m.RequestsPerSecond, Version: m.Version, Adapters: m.Adapters, Cached: m.CachedPrefixes, Evicted: m.EvictedPrefixes}}
 	ranked := a.Entry.gossip.Rank(m.Pool)
 	copies := dispatcherCopies
-	if a.Entry.spreadAll {
+	if a.Entry.broadcast {
 		copies = len(ranked)
 	}
 	for _, i := range ranked[:min(len(ranked), copies)] {
--- a/daemon/entry/answer.go
+++ b/daemon/entry/answer.go
@@ -16,7 +16,7 @@
 	status int
 }
 
-// Error returns type and message.
+// Error returns the type and the message.
 func (e *callError) Error() string { return string(e.Type) + ": " + e.Message }
 
 func notRun(status int, t api.ErrorType, message string) *callError {
@@ -27,17 +27,17 @@
 	return &callError{api.CallError{Type: t, Message: message, Outcome: state.OutcomeUnknown}, status}
 }
 
-func (e *callError) after(d time.Duration) *callError {
+func (e *callError) withRetryAfter(d time.Duration) *callError {
 	e.RetryAfterMillis = d.Milliseconds()
 	return e
 }
 
-func (e *callError) elsewhere(addresses []string) *callError {
+func (e *callError) withAddresses(addresses []string) *callError {
 	e.Addresses = addresses
 	return e
 }
 
-// reply is a call's whole answer: either an error or a body.
+// reply is a call's final answer: either an error or a body.
 type reply struct {
 	err         *callError
 	status      int
@@ -47,10 +47,10 @@
 	repeat      bool
 }
 
-func failed(e *callError) *reply { return &reply{err: e, outcome: e.Outcome} }
+func errorReply(e *callError) *reply { return &reply{err: e, outcome: e.Outcome} }
 
-// stored returns the reply as it is recorded for repeats.
-func (r *reply) stored() *state.StoredAnswer {
+// storedAnswer returns the reply as it is recorded for repeats of the call.
+func (r *reply) storedAnswer() *state.StoredAnswer {
 	a := &state.StoredAnswer{Outcome: r.outcome, Status: r.status, ContentType: r.contentType, Body: r.body}
 	if r.err != nil {
 		a.Status = r.err.status
@@ -64,10 +64,10 @@
 	return a
 }
 
-// recorded turns a record into the answer for a repeat.
-func recorded(rec *state.CallRecord) *reply {
+// recordedReply returns the answer to a repeat of a recorded call.
+func recordedReply(rec *state.CallRecord) *reply {
 	if rec.Phase != state.PhaseDone || rec.Answer == nil {
-		return failed(unknown(http.StatusConflict, api.ErrorCallInProgress, "a call with this key is in progress, or the entry that ran it was lost").after(time.Second))
+		return errorReply(unknown(http.StatusConflict, api.ErrorCallInProgress, "a call with this key is in progress, or the entry that ran it was lost").withRetryAfter(time.Second))
 	}
 	a := rec.Answer
 	if a.Truncated {
--- a/daemon/entry/attempt.go
+++ b/daemon/entry/attempt.go
@@ -21,27 +21,27 @@
 	"cardamomwick.example/daemon/scheduler"
 )
 
-// maxResumes bounds how often one attempt's broken stream is taken up again.
+// maxResumes bounds how often one attempt's broken stream is resumed.
 const maxResumes = 3
 
-// execution is one call's way through its attempts.
+// execution is the state of a call over its attempts.
 type execution struct {
-	e   *Entry
-	c   *call
-	out *sink
-	// wait ends the waiting for a slot; run ends what was dispatched.
+	entry *Entry
+	call  *call
+	out   *sink
+	// wait bounds the wait for a slot, run the attempts that were dispatched.
 	wait, run context.Context
-	// before is asked right before a dispatch; its reply, if any, ends the call.
-	before func() *reply
-	// exclude lists the servers that failed the call.
-	exclude []string
-	// uncertain: an attempt failed that may have run.
-	uncertain bool
+	// claim, if set, is called right before each dispatch; a reply ends the call.
+	claim func() *reply
+	// excluded lists the servers that must not be used again for this call.
+	excluded []string
+	// mayHaveRun is set once an attempt that may have run has failed.
+	mayHaveRun bool
 }
 
-// attempts runs a call until it is answered or given up.
-func (e *Entry) attempts(wait, run context.Context, c *call, out *sink, before func() *reply) *reply {
-	x := &execution{e: e, c: c, out: out, wait: wait, run: run, before: before}
+// attempts makes attempts until the call is answered or no other attempt is allowed.
+func (e *Entry) attempts(wait, run context.Context, c *call, out *sink, claim func() *reply) *reply {
+	x := &execution{entry: e, call: c, out: out, wait: wait, run: run, claim: claim}
 	for n := 1; ; n++ {
 		if r := x.attempt(n); r != nil {
 			return r
@@ -49,91 +49,92 @@
 	}
 }
 
-// attempt makes the n-th attempt; nil asks for another one.
+// attempt makes the n-th attempt. It returns nil if another one is to be made.
 func (x *execution) attempt(n int) *reply {
-	// Attempts, repeats and rounds of recorded calls all come here: without this, one
-	// that ends its servers would end one after the other.
-	if left, held := x.e.keeper.Held(x.c.requestDigest); held {
-		return failed(giveUp(http.StatusServiceUnavailable, api.ErrorRequestQuarantined, quarantine.KeptBack, x.uncertain).after(left))
+	// All attempts of all calls pass here, those of repeats and recorded calls included.
+	// Without this check, a request that crashes servers would crash one after another.
+	if left, held := x.entry.keeper.Held(x.call.requestDigest); held {
+		return errorReply(callErrorFor(http.StatusServiceUnavailable, api.ErrorRequestQuarantined, quarantine.KeptBack, x.mayHaveRun).withRetryAfter(left))
 	}
-	t := x.c.ticket()
+	t := x.call.ticket()
 	t.Attempt = n
-	t.Exclude = x.exclude
-	slot, grant, err := x.e.scheduler.Acquire(x.wait, x.c.pool, t, x.c.arrived, x.c.deadline)
+	t.Exclude = x.excluded
+	slot, grant, err := x.entry.scheduler.Acquire(x.wait, x.call.pool, t, x.call.arrived, x.call.deadline)
 	if err != nil {
-		return x.e.notGranted(x.c, err, x.uncertain)
+		return x.entry.refusalReply(x.call, err, x.mayHaveRun)
 	}
-	if !x.e.mayDispatch(x.c, grant.Server) {
+	if !x.entry.mayDispatch(x.call, grant.Server) {
 		slot.Finish(dispatch.Usage{})
-		return x.blocked(grant.Server, n)
+		return x.blockedReply(grant.Server, n)
 	}
 	if r := x.confirm(grant.Server); r != nil {
 		slot.Finish(dispatch.Usage{})
 		return r
 	}
-	x.out.attempt(n)
+	x.out.setAttempt(n)
 	run := quarantine.Run{Server: grant.Server, KeepsID: true, Address: grant.Address, Began: time.Now()}
-	rep, failure := x.e.try(x.run, x.c, x.target(&grant, n), slot, x.out)
+	rep, failure := x.entry.runAttempt(x.run, x.call, x.target(&grant, n), slot, x.out)
 	if failure != nil {
-		x.noteBroken(failure, run)
-		return x.failed(failure, grant.Server, n)
+		x.reportBroken(failure, run)
+		return x.handleFailure(failure, grant.Server, n)
 	}
-	x.e.keeper.Succeeded(run, x.c.requestDigest())
+	x.entry.keeper.Succeeded(run, x.call.requestDigest())
 	return rep
 }
 
-// noteBroken tells the quarantine of a run that may have begun and has no answer.
-func (x *execution) noteBroken(f *backend.CallError, r quarantine.Run) {
+// reportBroken reports a run that may have begun and has no answer to the quarantine.
+func (x *execution) reportBroken(f *backend.CallError, r quarantine.Run) {
 	if f.Failure == retry.FailureUncertain && f.Status == 0 && x.run.Err() == nil {
 		r.Reached = f.Reached
-		x.e.keeper.Broke(r, x.c.requestDigest())
+		x.entry.keeper.Broke(r, x.call.requestDigest())
 	}
 }
 
-// blocked answers a grant that may not be used: the server was retired since,
-// or the lease is gone.
-func (x *execution) blocked(server string, n int) *reply {
-	if x.e.mayServe(x.c) && n < retry.MaxAttempts {
-		x.exclude = append(x.exclude, server)
+// blockedReply handles a grant that may not be used, because the server has been retired
+// since or the lease has expired. It returns nil if another attempt is to be made.
+func (x *execution) blockedReply(server string, n int) *reply {
+	if x.entry.mayServe(x.call) && n < retry.MaxAttempts {
+		x.excluded = append(x.excluded, server)
 		return nil
 	}
-	return failed(giveUp(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this entry lost its configuration lease", x.uncertain).
-		after(time.Second).elsewhere(x.e.otherAddresses(x.c.customer)))
+	return errorReply(callErrorFor(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this entry lost its configuration lease", x.mayHaveRun).
+		withRetryAfter(time.Second).withAddresses(x.entry.otherAddresses(x.call.customer)))
 }
 
-// confirm claims what must be claimed, and checks once more after the time
-// that this has taken.
+// confirm claims the call if necessary and repeats the dispatch check, since the claim
+// takes time. A reply ends the call.
 func (x *execution) confirm(server string) *reply {
-	if x.before == nil {
+	if x.claim == nil {
 		return nil
 	}
-	if r := x.before(); r != nil {
+	if r := x.claim(); r != nil {
 		return r
 	}
-	if !x.e.mayDispatch(x.c, server) {
-		return failed(notRun(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this entry lost its configuration lease").after(time.Second))
+	if !x.entry.mayDispatch(x.call, server) {
+		return errorReply(notRun(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this entry lost its configuration lease").withRetryAfter(time.Second))
 	}
 	return nil
 }
 
 func (x *execution) target(g *dispatch.Grant, n int) *backend.Target {
-	t := &backend.Target{RequestID: x.c.id, Attempt: n, Tier: x.c.policy.Tier, Customer: x.c.customer, Server: g.Server, Address: g.Address}
-	if x.e.flatTiers {
+	t := &backend.Target{RequestID: x.call.id, Attempt: n, Tier: x.call.policy.Tier, Customer: x.call.customer, Server: g.Server, Address: g.Address}
+	if x.entry.ignoreTiers {
 		t.Tier = 0
 	}
 	return t
 }
 
-// failed decides about another attempt; nil asks for it.
-func (x *execution) failed(f *backend.CallError, server string, n int) *reply {
-	x.uncertain = x.uncertain || f.Failure == retry.FailureUncertain
-	log.WithError(f).WithFields(log.Fields{"request_id": x.c.id, "class": x.c.class, "step": f.Step, "peer": f.Peer, "attempt": n}).Warn("attempt failed")
-	if !x.e.mayRetry(x.run, x.c, f, n) {
-		return x.e.gaveUp(x.run, x.c, f, x.uncertain)
+// handleFailure returns the final answer after a failed attempt, or nil if another one is
+// to be made.
+func (x *execution) handleFailure(f *backend.CallError, server string, n int) *reply {
+	x.mayHaveRun = x.mayHaveRun || f.Failure == retry.FailureUncertain
+	log.WithError(f).WithFields(log.Fields{"request_id": x.call.id, "class": x.call.class, "step": f.Step, "peer": f.Peer, "attempt": n}).Warn("attempt failed")
+	if !x.entry.mayRetry(x.run, x.call, f, n) {
+		return x.entry.failureReply(x.run, x.call, f, x.mayHaveRun)
 	}
-	x.exclude = append(x.exclude, server)
+	x.excluded = append(x.excluded, server)
 	sleep(x.run, retry.Backoff(n+1, rand.Float64()))
-	x.e.keeper.AwaitRuling(x.run, x.c.requestDigest) // the end of the context ends the next attempt
+	x.entry.keeper.AwaitRuling(x.run, x.call.requestDigest) // if the context ends, so does the next attempt
 	return nil
 }
 
@@ -158,53 +159,55 @@
 	return b.Take()
 }
 
-func giveUp(status int, t api.ErrorType, message string, uncertain bool) *callError {
-	if uncertain {
+// callErrorFor returns an error with the outcome unknown if the call may have run, and
+// not_run otherwise.
+func callErrorFor(status int, t api.ErrorType, message string, mayHaveRun bool) *callError {
+	if mayHaveRun {
 		return unknown(status, t, message)
 	}
 	return notRun(status, t, message)
 }
 
-// gaveUp is the final answer after a failed attempt, sent at once.
-func (e *Entry) gaveUp(ctx context.Context, c *call, f *backend.CallError, uncertain bool) *reply {
+// failureReply returns the final answer after the last failed attempt.
+func (e *Entry) failureReply(ctx context.Context, c *call, f *backend.CallError, mayHaveRun bool) *reply {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) || !time.Now().Before(c.deadline):
-		return failed(giveUp(http.StatusGatewayTimeout, api.ErrorDeadlineExpired, "the deadline passed while the call ran", uncertain))
+		return errorReply(callErrorFor(http.StatusGatewayTimeout, api.ErrorDeadlineExpired, "the deadline passed while the call ran", mayHaveRun))
 	case f.Status >= 400 && f.Status < 500:
-		return failed(giveUp(http.StatusBadGateway, api.ErrorBackendFailed, f.Error(), uncertain))
+		return errorReply(callErrorFor(http.StatusBadGateway, api.ErrorBackendFailed, f.Error(), mayHaveRun))
 	}
-	return failed(giveUp(http.StatusBadGateway, api.ErrorBackendFailed, f.Error(), uncertain).after(time.Second))
+	return errorReply(callErrorFor(http.StatusBadGateway, api.ErrorBackendFailed, f.Error(), mayHaveRun).withRetryAfter(time.Second))
 }
 
-// notGranted is the final answer when no slot was given.
-func (e *Entry) notGranted(c *call, err error, uncertain bool) *reply {
+// refusalReply returns the final answer to a call that was granted no slot.
+func (e *Entry) refusalReply(c *call, err error, mayHaveRun bool) *reply {
 	var refused *scheduler.RefusedError
 	if !errors.As(err, &refused) {
-		return failed(giveUp(http.StatusServiceUnavailable, api.ErrorRefused, "the caller left while the call waited", uncertain))
+		return errorReply(callErrorFor(http.StatusServiceUnavailable, api.ErrorRefused, "the caller left while the call waited", mayHaveRun))
 	}
 	status, kind := http.StatusServiceUnavailable, api.ErrorRefused
 	if refused.Reason == dispatch.ReasonCustomerRate {
 		status, kind = http.StatusTooManyRequests, api.ErrorRateLimited
 	}
-	x := giveUp(status, kind, "not dispatched: "+string(refused.Reason), uncertain).after(refused.RetryAfter)
+	x := callErrorFor(status, kind, "not dispatched: "+string(refused.Reason), mayHaveRun).withRetryAfter(refused.RetryAfter)
 	x.Reason = string(refused.Reason)
-	return failed(x)
+	return errorReply(x)
 }
 
-// try makes one attempt and gives the slot back.
-func (e *Entry) try(ctx context.Context, c *call, t *backend.Target, slot scheduler.Slot, out *sink) (*reply, *backend.CallError) {
+// runAttempt runs one dispatched attempt and releases the slot.
+func (e *Entry) runAttempt(ctx context.Context, c *call, t *backend.Target, slot scheduler.Slot, out *sink) (*reply, *backend.CallError) {
 	b, unlock := e.budget(c.pool)
 	if t.Attempt == 1 {
 		b.RecordAttempt()
 	}
 	unlock()
 	if c.kind == bundle.PoolService {
-		return e.tryService(ctx, c, t, slot)
+		return e.runService(ctx, c, t, slot)
 	}
-	return e.tryModel(ctx, c, t, slot, out)
+	return e.runModel(ctx, c, t, slot, out)
 }
 
-func (e *Entry) tryService(ctx context.Context, c *call, t *backend.Target, slot scheduler.Slot) (*reply, *backend.CallError) {
+func (e *Entry) runService(ctx context.Context, c *call, t *backend.Target, slot scheduler.Slot) (*reply, *backend.CallError) {
 	key := ""
 	if c.key != nil {
 		key = c.key.Key
@@ -227,8 +230,8 @@
 	return &backend.CallError{Failure: retry.FailureUncertain, Step: "attempt", Peer: t.Server, Err: err}
 }
 
-// tryModel generates, behind what earlier attempts have generated already.
-func (e *Entry) tryModel(ctx context.Context, c *call, t *backend.Target, slot scheduler.Slot, out *sink) (*reply, *backend.CallError) {
+// runModel generates, continuing after the text that earlier attempts have generated.
+func (e *Entry) runModel(ctx context.Context, c *call, t *backend.Target, slot scheduler.Slot, out *sink) (*reply, *backend.CallError) {
 	text, before := out.partial()
 	body, err := c.engineBody(text, before)
 	if err != nil {
@@ -239,7 +242,7 @@
 	_, now := out.partial()
 	if f == nil {
 		slot.Finish(dispatch.Usage{Completed: true, OutputTokens: now - before, ExtraRequests: repeats})
-		return out.whole(), nil
+		return out.completionReply(), nil
 	}
 	if ctx.Err() != nil {
 		go backend.Cancel(t)
@@ -251,8 +254,8 @@
 	return nil, f
 }
 
-// generate pumps one attempt's stream, resuming it when the connection breaks. It returns
-// how often it asked the server for that.
+// generate copies one attempt's stream to out and resumes it when the connection breaks.
+// It returns the number of resumptions that it requested.
 func (e *Entry) generate(ctx context.Context, t *backend.Target, body []byte, slot scheduler.Slot, out *sink) (resumes int, f *backend.CallError) {
 	s, err := backend.Open(ctx, t, body)
 	if err != nil {
@@ -260,7 +263,7 @@
 	}
 	events := 0
 	for {
-		n, err := pump(s, slot, out)
+		n, err := copyEvents(s, slot, out)
 		s.Close()
 		events += n
 		if err == nil && out.complete() {
@@ -280,8 +283,9 @@
 	}
 }
 
-// pump copies events until the stream ends; nil means the engine's end marker.
-func pump(s *backend.Stream, slot scheduler.Slot, out *sink) (int, error) {
+// copyEvents copies events to out until the stream ends, and returns their number. The
+// error is nil only after the engine's end marker.
+func copyEvents(s *backend.Stream, slot scheduler.Slot, out *sink) (int, error) {
 	n := 0
 	for {
 		ev, err := s.Next()
@@ -293,6 +297,6 @@
 		}
 		n++
 		slot.ObserveToken(time.Now())
-		out.event(ev)
+		out.writeEvent(ev)
 	}
 }
--- a/daemon/entry/durable.go
+++ b/daemon/entry/durable.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	takeOverPeriod = time.Second
-	takeOverBatch  = 32
-	takeOverRole   = "role/takeover"
+	takeoverInterval = time.Second
+	takeoverBatch    = 32
+	takeoverRole     = "role/takeover"
 )
 
-// executeDurable records the call before anything else. From then on it is run
-// until it ends, by this instance or, after its death, by another one.
+// executeDurable records the call first. From then on it is run until it ends, by this
+// instance or, if this one fails, by another.
 func (e *Entry) executeDurable(ctx context.Context, c *call, out *sink) *reply {
 	cmd := e.command(state.CommandAccept, c)
 	cmd.Call.Request = &state.StoredRequest{Method: c.method, Path: c.path, ContentType: c.contentType, Body: c.body}
 	res, err := e.replicas.Propose(ctx, cmd)
 	if err != nil {
-		return failed(unknown(http.StatusServiceUnavailable, api.ErrorReplicasUnavailable, "the replicas did not answer; ask again with the same key").
-			after(time.Second).elsewhere(e.otherAddresses(c.customer)))
+		return errorReply(unknown(http.StatusServiceUnavailable, api.ErrorReplicasUnavailable, "the replicas did not answer; ask again with the same key").
+			withRetryAfter(time.Second).withAddresses(e.otherAddresses(c.customer)))
 	}
 	if rep := e.claimResult(c, &res); rep != nil {
 		return rep
@@ -37,24 +37,24 @@
 	ctx, answer := context.WithCancel(ctx)
 	defer answer()
 	var quarantined atomic.Pointer[reply]
-	kept := func(r *reply) {
+	onQuarantine := func(r *reply) {
 		quarantined.Store(r)
-		answer() // the caller need not wait for what goes on without it
+		answer() // the caller gets its answer now; the call continues without it
 	}
-	return e.detached(ctx, out, func() *reply { return e.runDurable(c, out, kept) }, func() *reply {
-		x := unknown(http.StatusAccepted, api.ErrorAcceptedNotFinished, "the call is recorded and will be run; ask again with the same key for its answer").after(time.Second)
+	return e.runDetached(ctx, out, func() *reply { return e.runDurable(c, out, onQuarantine) }, func() *reply {
+		x := unknown(http.StatusAccepted, api.ErrorAcceptedNotFinished, "the call is recorded and will be run; ask again with the same key for its answer").withRetryAfter(time.Second)
 		if r := quarantined.Load(); r != nil {
 			x.Message = "the call is recorded, but " + r.err.Message
 			x.RetryAfterMillis = r.err.RetryAfterMillis
 		}
-		return failed(x)
+		return errorReply(x)
 	})
 }
 
-// runDurable tries until the call has ended. While shutting down a call that
-// is not dispatched yet is left to another instance. kept is told when the call is
-// kept from the servers for some time.
-func (e *Entry) runDurable(c *call, out *sink, kept func(*reply)) *reply {
+// runDurable runs the call in rounds until it has ended. During a shutdown, a call that
+// is not dispatched yet is left to another instance. onQuarantine is called whenever the
+// call is in quarantine.
+func (e *Entry) runDurable(c *call, out *sink, onQuarantine func(*reply)) *reply {
 	for {
 		r := e.durableRound(c, out)
 		switch {
@@ -63,29 +63,29 @@
 			return r
 		case r.repeat || r.outcome == state.OutcomeUnknown && !c.policy.Idempotent:
 			return r
-		case e.refusing.Load():
-			return failed(unknown(http.StatusAccepted, api.ErrorAcceptedNotFinished, "the call is recorded; another instance will run it").after(time.Second))
+		case e.draining.Load():
+			return errorReply(unknown(http.StatusAccepted, api.ErrorAcceptedNotFinished, "the call is recorded; another instance will run it").withRetryAfter(time.Second))
 		}
 		log.WithFields(log.Fields{"request_id": c.id, "class": c.class, "step": "durable round", "outcome": string(r.outcome)}).Info("durable call will be tried again")
 		if r.err == nil || r.err.Type != api.ErrorRequestQuarantined {
-			time.Sleep(durablePause)
+			time.Sleep(durableRetryInterval)
 			continue
 		}
-		kept(r)
-		e.pauseInQuarantine(time.Duration(r.err.RetryAfterMillis) * time.Millisecond)
+		onQuarantine(r)
+		e.waitInQuarantine(time.Duration(r.err.RetryAfterMillis) * time.Millisecond)
 	}
 }
 
-// pauseInQuarantine waits while a call is held, but no shutdown waits for it.
-func (e *Entry) pauseInQuarantine(left time.Duration) {
-	for until := time.Now().Add(min(quarantinePause, left)); time.Now().Before(until) && !e.refusing.Load(); {
-		time.Sleep(durablePause)
+// waitInQuarantine waits while a call is in quarantine, at most until a shutdown.
+func (e *Entry) waitInQuarantine(left time.Duration) {
+	for until := time.Now().Add(min(maxQuarantineWait, left)); time.Now().Before(until) && !e.draining.Load(); {
+		time.Sleep(durableRetryInterval)
 	}
 }
 
 func (e *Entry) durableRound(c *call, out *sink) *reply {
 	round := *c
-	round.deadline = time.Now().Add(durableRound)
+	round.deadline = time.Now().Add(durableRoundTimeout)
 	ctx, cancel := context.WithDeadline(context.Background(), round.deadline)
 	defer cancel()
 	if c.policy.Idempotent {
@@ -94,27 +94,28 @@
 	return e.claimAndRun(ctx, &round, out)
 }
 
-// String names the take-over service in the supervisor's log.
+// String names the takeover service in the supervisor's log.
 func (e *Entry) String() string { return "take-over of durable calls" }
 
-// Serve looks for durable calls whose instance is gone and runs them. One
-// instance at a time has this role; two for a while are kept apart by the log.
+// Serve takes over durable calls whose instance is gone and runs them. One instance at a
+// time has this role. If two have it for a while, the replicated log lets only one of
+// them take over a call.
 func (e *Entry) Serve(ctx context.Context) error {
-	return loop.Every(ctx, takeOverPeriod, func(time.Time) {
-		if !e.refusing.Load() && e.holder.Fresh() && e.gossip.Holds(takeOverRole) {
-			e.takeOver(ctx)
+	return loop.Every(ctx, takeoverInterval, func(time.Time) {
+		if !e.draining.Load() && e.holder.Fresh() && e.gossip.Holds(takeoverRole) {
+			e.takeover(ctx)
 		}
 	})
 }
 
-func (e *Entry) takeOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, takeOverPeriod)
+func (e *Entry) takeover(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, takeoverInterval)
 	defer cancel()
 	var alive []string
 	for _, i := range e.gossip.Instances() {
 		alive = append(alive, i.Owner())
 	}
-	orphans, err := e.replicas.Orphans(ctx, alive, takeOverBatch)
+	orphans, err := e.replicas.Orphans(ctx, alive, takeoverBatch)
 	if err != nil {
 		return
 	}
@@ -123,7 +124,7 @@
 	}
 }
 
-// adopt takes one call over and runs it.
+// adopt takes over one call and runs it.
 func (e *Entry) adopt(ctx context.Context, o state.Orphan) {
 	id := newID()
 	cmd := &state.Command{Type: state.CommandTakeOver, Call: &state.CallCommand{Key: o.Key, CallID: id, Owner: e.owner, PreviousOwner: o.Owner}}
@@ -143,7 +144,7 @@
 	}()
 }
 
-// rebuild makes a call from its record.
+// rebuild reconstructs a call from its record. It returns nil if that is impossible.
 func (e *Entry) rebuild(id string, rec *state.CallRecord) *call {
 	cfg := e.holder.Config()
 	if cfg.Bundle == nil || rec.Request == nil {
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry serves callers: it checks a call, waits for a slot, makes sure
-// of what must not happen twice, sends the call to a backend server and gives
-// the caller exactly one final answer that names its outcome.
+// Package entry serves callers: it validates a call, waits for a slot, claims the
+// idempotency key of a call that must not run twice, sends the call to a backend
+// server and gives the caller exactly one final answer that states its outcome.
 package entry
 
 import (
@@ -30,15 +30,15 @@
 	"cardamomwick.example/daemon/telemetry"
 )
 
-// Slots gives places on backend servers; scheduler.Scheduler does.
+// Slots grants slots on backend servers. scheduler.Scheduler implements it.
 type Slots interface {
-	// Acquire waits for a place. arrived is when the caller's request came.
+	// Acquire waits for a slot. arrived is when the caller's request arrived.
 	Acquire(ctx context.Context, pool string, t dispatch.Ticket, arrived, deadline time.Time) (scheduler.Slot, dispatch.Grant, error)
-	// Load returns the waiting and running calls of this entry.
+	// Load returns the numbers of waiting and running calls of this entry.
 	Load() (waiting, running int)
 }
 
-// Options are the parts that an Entry works with.
+// Options holds the dependencies and settings of an Entry.
 type Options struct {
 	Settings  *settings.Settings
 	Holder    *lease.Holder
@@ -46,35 +46,35 @@
 	Scheduler Slots
 	Replicas  *replica.Client
 	Metrics   *telemetry.Metrics
-	// Quarantine says which requests are kept from the servers.
+	// Quarantine decides which requests are withheld from the servers.
 	Quarantine *quarantine.Keeper
-	// SpreadAnnouncements passes announcements to every instance, as the
-	// baselines need it.
-	SpreadAnnouncements bool
-	// IgnoreTiers gives all calls the same priority at the engines.
+	// BroadcastAnnouncements forwards announcements to every instance, as the
+	// baselines require.
+	BroadcastAnnouncements bool
+	// IgnoreTiers sends all calls to the engines with the same priority.
 	IgnoreTiers bool
-	// Owner names this instance process in call records.
+	// Owner identifies this process in call records.
 	Owner string
 }
 
 // Entry handles callers' requests.
 type Entry struct {
-	settings  *settings.Settings
-	holder    *lease.Holder
-	gossip    *gossip.Service
-	scheduler Slots
-	replicas  *replica.Client
-	metrics   *telemetry.Metrics
-	keeper    *quarantine.Keeper
-	owner     string
-	spreadAll bool
-	flatTiers bool
-
-	// keys maps digests of bearer keys to customers; replaced with each
+	settings    *settings.Settings
+	holder      *lease.Holder
+	gossip      *gossip.Service
+	scheduler   Slots
+	replicas    *replica.Client
+	metrics     *telemetry.Metrics
+	keeper      *quarantine.Keeper
+	owner       string
+	broadcast   bool
+	ignoreTiers bool
+
+	// keys maps digests of bearer keys to customers. It is replaced with each
 	// configuration.
 	keys     atomic.Pointer[map[string]string]
-	refusing atomic.Bool
-	// work counts calls in flight, those without a waiting caller included.
+	draining atomic.Bool
+	// work tracks calls in flight, including those that no caller waits for.
 	work     sync.WaitGroup
 	inFlight atomic.Int64
 
@@ -82,10 +82,10 @@
 	budgets map[string]*retry.Budget
 }
 
-// New returns an entry that follows the holder's configuration.
+// New returns an entry that uses the holder's current configuration.
 func New(o Options) *Entry {
 	e := &Entry{settings: o.Settings, holder: o.Holder, gossip: o.Gossip, scheduler: o.Scheduler, replicas: o.Replicas,
-		metrics: o.Metrics, keeper: o.Quarantine, owner: o.Owner, spreadAll: o.SpreadAnnouncements, flatTiers: o.IgnoreTiers, budgets: map[string]*retry.Budget{}}
+		metrics: o.Metrics, keeper: o.Quarantine, owner: o.Owner, broadcast: o.BroadcastAnnouncements, ignoreTiers: o.IgnoreTiers, budgets: map[string]*retry.Budget{}}
 	e.keys.Store(&map[string]string{})
 	o.Holder.OnChange(e.indexKeys)
 	return e
@@ -105,7 +105,7 @@
 
 const bearerPrefix = "Bearer "
 
-// customerOf finds the customer of a bearer key, which is kept hashed.
+// customerOf returns the customer of the request's bearer key, looked up by its hash.
 func (e *Entry) customerOf(r *http.Request) (string, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	if !ok || key == "" {
@@ -130,32 +130,32 @@
 	c, err := e.parse(r, kind)
 	out := newSink(w, c)
 	if err == nil {
-		err = e.admit(c)
+		err = e.checkServing(c)
 	}
 	var rep *reply
 	if err != nil {
-		rep = failed(err)
+		rep = errorReply(err)
 	} else {
 		rep = e.execute(r.Context(), c, out)
 	}
 	out.finish(rep)
-	e.note(c, out, rep)
+	e.recordCall(c, out, rep)
 }
 
-// admit refuses calls while shutting down or without a fresh configuration.
-func (e *Entry) admit(c *call) *callError {
-	if e.refusing.Load() {
+// checkServing refuses the call during a shutdown or without a fresh configuration.
+func (e *Entry) checkServing(c *call) *callError {
+	if e.draining.Load() {
 		return notRun(http.StatusServiceUnavailable, api.ErrorEntryDraining, "this entry is shutting down; use another address").
-			after(time.Second).elsewhere(e.otherAddresses(c.customer))
+			withRetryAfter(time.Second).withAddresses(e.otherAddresses(c.customer))
 	}
 	if !e.mayServe(c) {
 		return notRun(http.StatusServiceUnavailable, api.ErrorEntryIsolated, "this entry is cut off from the replicas; use another address").
-			after(time.Second).elsewhere(e.otherAddresses(c.customer))
+			withRetryAfter(time.Second).withAddresses(e.otherAddresses(c.customer))
 	}
 	return nil
 }
 
-// mayServe reports whether the configuration may be acted on for a call.
+// mayServe reports whether the configuration is fresh enough for the call.
 func (e *Entry) mayServe(c *call) bool {
 	if e.holder.Fresh() {
 		return true
@@ -164,13 +164,15 @@
 	return p.Idempotent && p.WhenIsolated == bundle.IsolatedServe && e.holder.StaleFor() < p.IsolatedFor.D()
 }
 
-// mayDispatch is the last check before the wire: the lease, and whether the
-// server was retired since the grant was made.
+// mayDispatch is the last check before a call is sent: that the lease holds, and that the
+// server has not been retired since the grant.
 func (e *Entry) mayDispatch(c *call, server string) bool {
 	_, retired := e.holder.Config().Retired[server]
 	return !retired && e.mayServe(c)
 }
 
+// budget returns the pool's retry budget with e.mu held; the caller must call the
+// returned function to unlock it.
 func (e *Entry) budget(pool string) (*retry.Budget, func()) {
 	e.mu.Lock()
 	b := e.budgets[pool]
@@ -181,8 +183,8 @@
 	return b, e.mu.Unlock
 }
 
-// note logs and counts a finished call.
-func (e *Entry) note(c *call, out *sink, rep *reply) {
+// recordCall logs and counts a finished call.
+func (e *Entry) recordCall(c *call, out *sink, rep *reply) {
 	total := time.Since(c.arrived)
 	tokens, attempts := out.counts()
 	e.metrics.Call(telemetry.Call{Class: c.class, Policy: c.policy, Outcome: rep.outcome, Refused: rep.err != nil,
@@ -198,8 +200,8 @@
 	log.WithFields(fields).Debug("call completed")
 }
 
-// Refuse makes new calls answered not_run with other addresses.
-func (e *Entry) Refuse() { e.refusing.Store(true) }
+// Drain makes the entry answer new calls with not_run and other entries' addresses.
+func (e *Entry) Drain() { e.draining.Store(true) }
 
 // Wait blocks until every call in flight has ended, or the context has.
 func (e *Entry) Wait(ctx context.Context) error {
--- a/daemon/entry/execute.go
+++ b/daemon/entry/execute.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// lingerAfterDeadline is how long an outcome is still awaited for the
-	// record after the caller got its answer.
-	lingerAfterDeadline = time.Minute
-	// deadlineGrace is how long past the deadline a call's own end is awaited.
+	// outcomeTimeout is how long after the deadline, when the caller has its answer, the
+	// entry still waits for an outcome to record.
+	outcomeTimeout = time.Minute
+	// deadlineGrace is how long after the deadline the caller's answer may still be the
+	// call's own.
 	deadlineGrace = 100 * time.Millisecond
-	// recordTimeout bounds the wait for an outcome to be recorded.
+	// recordTimeout bounds the recording of an outcome.
 	recordTimeout = 3 * time.Second
 	// claimTimeout bounds a claim.
 	claimTimeout = 3 * time.Second
-	// durablePause is the wait between two rounds for a durable call.
-	durablePause = 500 * time.Millisecond
-	// quarantinePause is the longest wait for a durable call that is kept from the
-	// servers: it may be cleared sooner than its hold ends.
-	quarantinePause = 30 * time.Second
-	// durableRound bounds one round's wait for a slot.
-	durableRound = 30 * time.Second
+	// durableRetryInterval is the wait between two rounds of a durable call.
+	durableRetryInterval = 500 * time.Millisecond
+	// maxQuarantineWait bounds the wait of a quarantined durable call until its next
+	// round: the request may be cleared before its hold ends.
+	maxQuarantineWait = 30 * time.Second
+	// durableRoundTimeout bounds one round's wait for a slot.
+	durableRoundTimeout = 30 * time.Second
 )
 
-// execute runs a checked call and returns its final answer.
+// execute runs a validated call and returns its final answer.
 func (e *Entry) execute(ctx context.Context, c *call, out *sink) *reply {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
@@ -45,9 +46,9 @@
 	return e.attempts(ctx, ctx, c, out, nil)
 }
 
-// detached runs f, which goes on after the caller has its answer; the caller
-// waits until its context ends.
-func (e *Entry) detached(ctx context.Context, out *sink, f func() *reply, late func() *reply) *reply {
+// runDetached runs f, which may continue after the caller has its answer. If the context
+// ends before f, the caller gets the reply of late.
+func (e *Entry) runDetached(ctx context.Context, out *sink, f func() *reply, late func() *reply) *reply {
 	done := make(chan *reply, 1)
 	e.work.Add(1)
 	go func() {
@@ -59,7 +60,7 @@
 		return r
 	case <-ctx.Done():
 	}
-	// A call that ends by itself at the deadline knows more than "unknown".
+	// A call that ends by itself at the deadline has a more precise outcome than late.
 	select {
 	case r := <-done:
 		return r
@@ -69,21 +70,21 @@
 	}
 }
 
-// executeOnce runs a call that must not run twice. The key is claimed in the
-// log at dispatch, not at arrival: a call that dies in a queue was never
-// claimed.
+// executeOnce runs a call that must not run twice. Its key is claimed in the replicated
+// log at dispatch, not on arrival, so that a call that is never dispatched leaves no
+// claim.
 func (e *Entry) executeOnce(ctx context.Context, c *call, out *sink) *reply {
-	wait, stopWaiting := context.WithCancelCause(ctx)
-	defer stopWaiting(nil)
+	wait, cancelWait := context.WithCancelCause(ctx)
+	defer cancelWait(nil)
 	known := make(chan *reply, 1)
 	go func() {
 		if rec, found, err := e.replicas.Lookup(wait, *c.key); err == nil && found && rec.CallID != c.callID {
-			known <- e.repeat(c, &rec)
-			stopWaiting(errRepeat)
+			known <- e.repeatReply(c, &rec)
+			cancelWait(errKnownCall)
 		}
 	}()
-	r := e.detached(ctx, out, func() *reply { return e.claimAndRun(wait, c, out) }, func() *reply {
-		return failed(unknown(http.StatusGatewayTimeout, api.ErrorCallInProgress, "the deadline passed; ask again with the same key").after(time.Second))
+	r := e.runDetached(ctx, out, func() *reply { return e.claimAndRun(wait, c, out) }, func() *reply {
+		return errorReply(unknown(http.StatusGatewayTimeout, api.ErrorCallInProgress, "the deadline passed; ask again with the same key").withRetryAfter(time.Second))
 	})
 	select {
 	case rep := <-known:
@@ -93,27 +94,27 @@
 	}
 }
 
-var errRepeat = eris.New("the call is known already")
+var errKnownCall = eris.New("the call is known already")
 
-// repeat answers a call whose key is recorded.
-func (e *Entry) repeat(c *call, rec *state.CallRecord) *reply {
+// repeatReply answers a call whose key is already recorded.
+func (e *Entry) repeatReply(c *call, rec *state.CallRecord) *reply {
 	if rec.RequestDigest != c.digest {
-		return failed(notRun(http.StatusUnprocessableEntity, api.ErrorIdempotencyConflict, "the idempotency key was used for another request"))
+		return errorReply(notRun(http.StatusUnprocessableEntity, api.ErrorIdempotencyConflict, "the idempotency key was used for another request"))
 	}
-	return recorded(rec)
+	return recordedReply(rec)
 }
 
 func (e *Entry) claimAndRun(wait context.Context, c *call, out *sink) *reply {
-	run, cancel := context.WithDeadline(context.WithoutCancel(wait), c.deadline.Add(lingerAfterDeadline))
+	run, cancel := context.WithDeadline(context.WithoutCancel(wait), c.deadline.Add(outcomeTimeout))
 	defer cancel()
 	claimed := false
 	r := e.attempts(wait, run, c, out, func() *reply {
 		if claimed {
 			return nil
 		}
-		// A dead caller's call is not claimed: it can be sent again safely.
+		// The call of a caller that has left is not claimed, so that it can be sent again.
 		if wait.Err() != nil {
-			return failed(notRun(http.StatusServiceUnavailable, api.ErrorRefused, "the caller left while the call waited"))
+			return errorReply(notRun(http.StatusServiceUnavailable, api.ErrorRefused, "the caller left while the call waited"))
 		}
 		rep := e.claim(c)
 		claimed = rep == nil
@@ -125,16 +126,17 @@
 	return r
 }
 
-// claim asks for the right to dispatch; nil means granted.
+// claim claims the call's key in the replicated log. It returns nil if the call may be
+// dispatched.
 func (e *Entry) claim(c *call) *reply {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	res, err := e.replicas.Propose(ctx, e.command(state.CommandClaim, c))
 	if err != nil {
-		log.WithError(err).WithFields(log.Fields{"request_id": c.id, "step": "claim"}).Warn("no claim")
-		go e.release(c) // the claim may be committed; this entry will not use it
-		return failed(notRun(http.StatusServiceUnavailable, api.ErrorReplicasUnavailable, "the replicas can't be reached; the call was not sent").
-			after(time.Second).elsewhere(e.otherAddresses(c.customer)))
+		log.WithError(err).WithFields(log.Fields{"request_id": c.id, "step": "claim"}).Warn("claim failed")
+		go e.release(c) // the claim may have been committed all the same
+		return errorReply(notRun(http.StatusServiceUnavailable, api.ErrorReplicasUnavailable, "the replicas can't be reached; the call was not sent").
+			withRetryAfter(time.Second).withAddresses(e.otherAddresses(c.customer)))
 	}
 	return e.claimResult(c, &res)
 }
@@ -144,13 +146,13 @@
 	case state.CodeOK:
 		return nil
 	case state.CodeExpired:
-		return failed(notRun(http.StatusBadRequest, api.ErrorIdempotencyKey, "the key's time is older than what is remembered, or ahead of the clock; make a new key"))
+		return errorReply(notRun(http.StatusBadRequest, api.ErrorIdempotencyKey, "the key's time is older than what is remembered, or ahead of the clock; make a new key"))
 	case state.CodeConflict:
-		return failed(notRun(http.StatusUnprocessableEntity, api.ErrorIdempotencyConflict, res.Message))
+		return errorReply(notRun(http.StatusUnprocessableEntity, api.ErrorIdempotencyConflict, res.Message))
 	case state.CodeExists:
-		return recorded(res.Record)
+		return recordedReply(res.Record)
 	}
-	return failed(notRun(http.StatusServiceUnavailable, api.ErrorReplicasUnavailable, "the claim was refused: "+string(res.Code)).after(time.Second))
+	return errorReply(notRun(http.StatusServiceUnavailable, api.ErrorReplicasUnavailable, "the claim was refused: "+string(res.Code)).withRetryAfter(time.Second))
 }
 
 func (e *Entry) command(t state.CommandType, c *call) *state.Command {
@@ -166,15 +168,15 @@
 	}
 }
 
-// record writes a claimed call's outcome before its caller learns it, so that
-// a repeat gets the same. A call that was not run gives its claim back.
+// record stores a claimed call's outcome before its caller gets it, so that repeats get
+// the same answer. The claim of a call that was not run is released.
 func (e *Entry) record(c *call, r *reply) {
 	if r.outcome == state.OutcomeNotRun {
 		e.release(c)
 		return
 	}
 	cmd := e.command(state.CommandFinish, c)
-	cmd.Call.Answer = r.stored()
+	cmd.Call.Answer = r.storedAnswer()
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	if _, err := e.replicas.Propose(ctx, cmd); err != nil {
--- a/daemon/entry/request.go
+++ b/daemon/entry/request.go
@@ -25,11 +25,11 @@
 
 const (
 	// bytesPerToken estimates prompt tokens from prompt bytes.
-	bytesPerToken = 4
-	maxDeadline   = time.Hour
+	bytesPerToken   = 4
+	maxCallDeadline = time.Hour
 )
 
-// call is one caller's request on its way.
+// call is a caller's request in progress.
 type call struct {
 	id         string
 	customer   string
@@ -46,17 +46,17 @@
 	contentType string
 	body        []byte
 
-	// key is set for calls that may not run twice or may not be lost.
+	// key is set for calls that must not run twice or must not be lost.
 	key    *state.CallKey
 	callID string
 	digest string
 
 	chat *chatRequest
-	// identity is what requestDigest returns; nil until it is asked for.
+	// identity caches the result of requestDigest.
 	identity *quarantine.Digest
 }
 
-// requestDigest identifies what the servers are asked for.
+// requestDigest identifies the request for the quarantine.
 func (c *call) requestDigest() quarantine.Digest {
 	if c.identity == nil {
 		r := quarantine.Request{Customer: c.customer, Method: c.method, Host: c.pool, URI: c.path, Body: c.body}
@@ -66,7 +66,8 @@
 	return *c.identity
 }
 
-// chatRequest is a chat-completions body with all its fields kept.
+// chatRequest is a chat-completions body. fields holds all fields as they came, so that
+// unknown ones reach the engine.
 type chatRequest struct {
 	fields    map[string]json.RawMessage
 	model     string
@@ -86,13 +87,13 @@
 	return t
 }
 
-// parse reads, authenticates and checks a request. Every refusal here is
+// parse reads, authenticates and validates a request. The outcome of its errors is
 // not_run.
 func (e *Entry) parse(r *http.Request, kind bundle.PoolKind) (*call, *callError) {
 	c := &call{id: newID(), kind: kind, arrived: time.Now(), method: r.Method, contentType: r.Header.Get("Content-Type")}
 	cfg := e.holder.Config()
 	if cfg.Bundle == nil {
-		return c, notRun(http.StatusServiceUnavailable, api.ErrorRefused, "no bundle is in force yet").after(time.Second)
+		return c, notRun(http.StatusServiceUnavailable, api.ErrorRefused, "no bundle is in force yet").withRetryAfter(time.Second)
 	}
 	c.generation = cfg.Generation
 	customer, ok := e.customerOf(r)
@@ -103,17 +104,17 @@
 	if err := e.readBody(r, c); err != nil {
 		return c, err
 	}
-	if err := c.findPool(r, cfg.Bundle); err != nil {
+	if err := c.parsePool(r, cfg.Bundle); err != nil {
 		return c, err
 	}
-	if err := c.findClass(r, cfg.Bundle); err != nil {
+	if err := c.parseClass(r, cfg.Bundle); err != nil {
 		return c, err
 	}
-	if err := c.findDeadline(r); err != nil {
+	if err := c.parseDeadline(r); err != nil {
 		return c, err
 	}
 	if c.needsKey() {
-		return c, c.findKey(r)
+		return c, c.parseKey(r)
 	}
 	return c, nil
 }
@@ -134,7 +135,7 @@
 	return nil
 }
 
-func (c *call) findPool(r *http.Request, b *bundle.Bundle) *callError {
+func (c *call) parsePool(r *http.Request, b *bundle.Bundle) *callError {
 	if c.kind == bundle.PoolModel {
 		if err := c.parseChat(); err != nil {
 			return err
@@ -178,7 +179,7 @@
 	return nil
 }
 
-func (c *call) findClass(r *http.Request, b *bundle.Bundle) *callError {
+func (c *call) parseClass(r *http.Request, b *bundle.Bundle) *callError {
 	c.class = r.Header.Get(api.HeaderClass)
 	if c.class == "" {
 		c.class = b.Pools[c.pool].DefaultClass
@@ -191,14 +192,14 @@
 	return nil
 }
 
-func (c *call) findDeadline(r *http.Request) *callError {
+func (c *call) parseDeadline(r *http.Request) *callError {
 	c.deadline = c.arrived.Add(c.policy.Deadline.D())
 	text := r.Header.Get(api.HeaderDeadline)
 	if text == "" {
 		return nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || ms > maxDeadline.Milliseconds() {
+	if err != nil || ms > maxCallDeadline.Milliseconds() {
 		return notRun(http.StatusBadRequest, api.ErrorInvalidRequest, api.HeaderDeadline+" must be milliseconds from now, at most 3600000")
 	}
 	if ms <= 0 {
@@ -208,9 +209,9 @@
 	return nil
 }
 
-// findKey checks the idempotency key. A durable idempotent call may come
-// without one; it then gets its request ID as key.
-func (c *call) findKey(r *http.Request) *callError {
+// parseKey reads the idempotency key. A durable idempotent call without one gets its
+// request ID as key.
+func (c *call) parseKey(r *http.Request) *callError {
 	text := r.Header.Get(api.HeaderIdempotencyKey)
 	if text == "" && c.policy.Idempotent {
 		text = c.id
@@ -230,8 +231,8 @@
 	return nil
 }
 
-// engineBody is the chat request as an engine gets it: always streaming, the
-// output capped, and continued behind what was generated before.
+// engineBody returns the chat request for an engine: always streaming, with the output
+// limited, and continued after the text that was generated before.
 func (c *call) engineBody(partial string, generated int) ([]byte, error) {
 	q := c.chat
 	f := make(map[string]json.RawMessage, len(q.fields)+2)
--- a/daemon/entry/sink.go
+++ b/daemon/entry/sink.go
@@ -15,28 +15,28 @@
 	"cardamomwick.example/daemon/backend"
 )
 
-// sink takes a call's answer on its way to the caller. Streaming callers get
-// each event at once; for the others the text gathers until the end. After
-// detach nothing is written any more, while the call may go on.
+// sink receives a call's answer and writes it to the caller. Streaming callers get
+// each event at once; for the others the text is collected until the end. After
+// detach nothing more is written, while the call may continue.
 type sink struct {
-	mu       sync.Mutex
-	w        http.ResponseWriter
-	c        *call
-	started  bool
-	detached bool
-	text     strings.Builder
-	tokens   int
-	finished string
-	first    time.Time
-	attempts int
+	mu           sync.Mutex
+	w            http.ResponseWriter
+	c            *call
+	started      bool
+	detached     bool
+	text         strings.Builder
+	tokens       int
+	finishReason string
+	first        time.Time
+	attempts     int
 }
 
 func newSink(w http.ResponseWriter, c *call) *sink { return &sink{w: w, c: c} }
 
-func (s *sink) streams() bool { return s.c.chat != nil && s.c.chat.stream }
+func (s *sink) isStreaming() bool { return s.c.chat != nil && s.c.chat.stream }
 
-// event takes one engine event.
-func (s *sink) event(ev *backend.Event) {
+// writeEvent records an engine event and sends it to a streaming caller.
+func (s *sink) writeEvent(ev *backend.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.first.IsZero() {
@@ -47,9 +47,9 @@
 		s.text.WriteString(ev.Text)
 	}
 	if ev.Finish != "" {
-		s.finished = ev.Finish
+		s.finishReason = ev.Finish
 	}
-	if !s.streams() || s.detached {
+	if !s.isStreaming() || s.detached {
 		return
 	}
 	s.start()
@@ -76,42 +76,43 @@
 	}
 }
 
-// partial returns what was generated so far.
+// partial returns the text and the number of tokens generated so far.
 func (s *sink) partial() (string, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.String(), s.tokens
 }
 
-// attempt notes the number of the attempt that is made.
-func (s *sink) attempt(n int) {
+// setAttempt sets the number of the current attempt.
+func (s *sink) setAttempt(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.attempts = n
 }
 
-// counts returns the tokens and attempts so far.
+// counts returns the numbers of tokens and attempts so far.
 func (s *sink) counts() (tokens, attempts int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tokens, s.attempts
 }
 
-// complete reports whether the engine's last event has come.
+// complete reports whether the engine's last event has arrived.
 func (s *sink) complete() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.finished != ""
+	return s.finishReason != ""
 }
 
-// detach ends writing: the caller got its final answer.
+// detach stops writing, since the caller gets another final answer.
 func (s *sink) detach() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.detached = true
 }
 
-// finish writes the final answer: once, and for a stream as its last events.
+// finish writes the final answer, for a started stream as its last events. It must be
+// called once.
 func (s *sink) finish(r *reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +120,7 @@
 	if s.attempts > 1 && !s.started {
 		s.w.Header().Set(api.HeaderAttempts, strconv.Itoa(s.attempts))
 	}
-	if !s.started && !(s.streams() && r.err == nil) {
+	if !s.started && !(s.isStreaming() && r.err == nil) {
 		r.write(s.w, s.c.id)
 		return
 	}
@@ -138,8 +139,8 @@
 	s.flush()
 }
 
-// firstToken returns the time to the first token, or to the answer of a plain
-// service; 0 when there was none.
+// firstToken returns the time to the first token, or to the answer of a service; 0 if
+// there was none.
 func (s *sink) firstToken(r *reply) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,15 +176,15 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// whole returns the gathered answer in the form for callers that don't stream.
-func (s *sink) whole() *reply {
+// completionReply returns the collected answer for callers that don't stream.
+func (s *sink) completionReply() *reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	body, err := json.Marshal(completion{ID: s.c.id, Object: "chat.completion", Model: s.c.pool,
-		Choices: []completionChoice{{Message: completionMessage{"assistant", s.text.String()}, FinishReason: s.finished}},
+		Choices: []completionChoice{{Message: completionMessage{"assistant", s.text.String()}, FinishReason: s.finishReason}},
 		Usage:   completionUsage{s.tokens}})
 	if err != nil {
-		return failed(unknown(http.StatusInternalServerError, api.ErrorBackendFailed, err.Error()))
+		return errorReply(unknown(http.StatusInternalServerError, api.ErrorBackendFailed, err.Error()))
 	}
 	return &reply{status: http.StatusOK, contentType: jsonType, body: body, outcome: state.OutcomeCompleted}
 }
