--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend speaks to backend servers: model engines (chat completions
-// with server-sent events, resumable by offset) and plain HTTP services. Every
-// error says whether the call may have run.
+// Package backend is a client to backend servers: model engines (chat
+// completions with server-sent events, resumable by offset) and HTTP services.
+// Every error says whether the call may have run.
 package backend
 
 import (
@@ -23,9 +23,9 @@
 	"cardamomwick.example/core/retry"
 )
 
-// Bounds towards backend servers.
+// Limits of the client.
 const (
-	// MaxAnswerBytes bounds a plain service's answer.
+	// MaxAnswerBytes bounds a service's answer.
 	MaxAnswerBytes = 4 << 20
 	maxEventBytes  = 1 << 20
 	idlePerServer  = 256
@@ -60,15 +60,15 @@
 	Failure retry.Failure
 	// Status is the server's HTTP status, 0 without an answer.
 	Status int
-	// Reached: the server's answer had begun.
+	// Reached is set if the server's answer had begun.
 	Reached bool
-	// Step and Peer tell where it arose.
+	// Step is the operation that failed, Peer the server.
 	Step string
 	Peer string
 	Err  error
 }
 
-// Error names step, peer and cause.
+// Error returns step, peer and cause.
 func (e *CallError) Error() string {
 	if e.Err != nil {
 		return e.Step + " at backend server " + e.Peer + ": " + e.Err.Error()
@@ -79,8 +79,9 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// failureOf tells a connection that was never made from a broken call.
-func failureOf(err error) retry.Failure {
+// classifyFailure distinguishes a failed dial, after which the call certainly did not
+// run, from a broken call.
+func classifyFailure(err error) retry.Failure {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return retry.FailureNotSent
@@ -88,9 +89,9 @@
 	return retry.FailureUncertain
 }
 
-// onceReader hides the body's type from the HTTP client, which would otherwise
-// send a request with an idempotency key again by itself on a broken
-// connection.
+// onceReader hides the body's type from net/http, which can then not rewind it.
+// Otherwise net/http would by itself retry a request with an idempotency key on a
+// broken connection.
 type onceReader struct{ io.Reader }
 
 func newRequest(ctx context.Context, t *Target, method, path string, body []byte) (*http.Request, error) {
@@ -100,7 +101,7 @@
 	}
 	req.ContentLength = int64(len(body))
 	if len(body) == 0 {
-		req.ContentLength = -1 // chunked and empty: a request without a body is sent again by the client
+		req.ContentLength = -1 // chunked and empty: net/http retries requests without a body by itself
 	}
 	req.Header.Set(api.HeaderRequestID, t.RequestID)
 	req.Header.Set(api.HeaderAttempt, strconv.Itoa(t.Attempt))
@@ -112,11 +113,11 @@
 func send(req *http.Request, t *Target, step string) (*http.Response, error) {
 	resp, err := httpc.DoRequest(req)
 	if err != nil {
-		return nil, &CallError{Failure: failureOf(err), Step: step, Peer: t.Server, Err: eris.Wrap(err, step)}
+		return nil, &CallError{Failure: classifyFailure(err), Step: step, Peer: t.Server, Err: eris.Wrap(err, step)}
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		defer resp.Body.Close()
-		return nil, refusal(resp, t, step)
+		return nil, serverError(resp, t, step)
 	}
 	if got := resp.Header.Get(api.HeaderRequestID); got != "" && got != t.RequestID {
 		resp.Body.Close()
@@ -125,9 +126,9 @@
 	return resp, nil
 }
 
-// refusal turns a 5xx answer into an error; a server may say that it did not
+// serverError returns the error for a 5xx answer. The server may state that it did not
 // start the call.
-func refusal(resp *http.Response, t *Target, step string) error {
+func serverError(resp *http.Response, t *Target, step string) error {
 	e := &CallError{Failure: retry.FailureUncertain, Status: resp.StatusCode, Step: step, Peer: t.Server}
 	if resp.Header.Get(api.HeaderNotStarted) == "true" {
 		e.Failure = retry.FailureNotSent
@@ -135,14 +136,14 @@
 	return e
 }
 
-// Answer is a plain service's whole answer.
+// Answer is a service's complete answer.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Call sends one call to a plain service and reads the whole answer.
+// Call sends one call to a service and reads the complete answer.
 func Call(ctx context.Context, t *Target, method, path, contentType, key string, body []byte) (*Answer, error) {
 	const step = "call service"
 	req, err := newRequest(ctx, t, method, path, body)
@@ -172,11 +173,11 @@
 
 // Event is one server-sent event of a model engine.
 type Event struct {
-	// Data is the JSON chunk as sent.
+	// Data is the JSON chunk as received.
 	Data []byte
-	// Text is the generated text in it.
+	// Text is the generated text of the chunk.
 	Text string
-	// Finish is the finish reason of the last chunk.
+	// Finish is the finish reason, which only the last chunk has.
 	Finish string
 }
 
@@ -198,7 +199,7 @@
 	return openStream(req, t, step)
 }
 
-// Resume continues a broken stream of the same attempt behind offset events.
+// Resume continues a broken stream of the same attempt after the first offset events.
 func Resume(ctx context.Context, t *Target, offset int) (*Stream, error) {
 	const step = "resume stream"
 	path := "/v1/streams/" + url.PathEscape(t.RequestID) + "?attempt=" + strconv.Itoa(t.Attempt) + "&offset=" + strconv.Itoa(offset)
@@ -236,8 +237,8 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// Next returns the next event; io.EOF after the engine's end marker. Any other
-// end is an error: a cut stream never looks finished.
+// Next returns the next event, or io.EOF after the engine's end marker. Any other end is
+// another error, so that a truncated stream never looks complete.
 func (s *Stream) Next() (*Event, error) {
 	for {
 		line, err := s.readLine()
@@ -285,10 +286,10 @@
 	}
 }
 
-// Close ends reading.
+// Close closes the answer's body.
 func (s *Stream) Close() { s.body.Close() }
 
-// Cancel tells an engine that nobody waits for a generation any more.
+// Cancel asks an engine to stop a generation. It is best effort: errors are ignored.
 func Cancel(t *Target) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
--- a/daemon/backend/backend_test.go
+++ b/daemon/backend/backend_test.go
@@ -16,9 +16,9 @@
 	"cardamomwick.example/core/retry"
 )
 
-// breaker accepts requests, reads them and cuts the connection; the first
-// request of a connection is answered when keep is set.
-func breaker(t *testing.T, keep bool) (address string, requests *atomic.Int64) {
+// startClosingServer starts a server that reads requests and closes the connection
+// without an answer. If keep is set, it answers the first request of each connection.
+func startClosingServer(t *testing.T, keep bool) (address string, requests *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,13 +53,13 @@
 	return l.Addr().String(), requests
 }
 
-// TestNothingIsSentTwice: the HTTP client must not repeat a request by itself,
-// not even one with an idempotency key on a reused connection or without body.
+// net/http must not retry a request by itself, not even one with an idempotency key on a
+// reused connection or one without a body.
 func TestNothingIsSentTwice(t *testing.T) {
 	Configure()
 	for _, body := range []string{"", "x"} {
 		for _, keep := range []bool{false, true} {
-			address, requests := breaker(t, keep)
+			address, requests := startClosingServer(t, keep)
 			target := &Target{RequestID: "r", Attempt: 1, Server: "s", Address: address}
 			want := int64(1)
 			if keep {
@@ -80,7 +80,9 @@
 	}
 }
 
-func TestRefusedConnectionsAreCertain(t *testing.T) {
+// A refused connection is always reported as not sent. 300 in a row must not
+// make a circuit breaker in the HTTP client refuse calls.
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	Configure()
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	address := l.Addr().String()
@@ -89,12 +91,12 @@
 		_, err := Call(context.Background(), &Target{Server: "s", Address: address}, "POST", "/", "", "", nil)
 		var ce *CallError
 		if !errors.As(err, &ce) || ce.Failure != retry.FailureNotSent {
-			t.Fatalf("%v, want not sent, and no breaker in between", err)
+			t.Fatalf("%v, want not sent, and no error of a circuit breaker", err)
 		}
 	}
 }
 
-func TestCutStreamIsNoEnd(t *testing.T) {
+func TestTruncatedStreamIsAnError(t *testing.T) {
 	Configure()
 	for text, wantEnd := range map[string]bool{
 		"data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n": true,
