--- a/daemon/entry/durable.go
+++ b/daemon/entry/durable.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	takeoverInterval = time.Second
-	takeoverBatch    = 32
-	takeoverRole     = "role/takeover"
+	takeOverInterval = time.Second
+	takeOverBatch    = 32
+	takeOverRole     = "role/takeover"
 )
 
 // executeDurable records the call first. From then on it is run until it ends, by this
@@ -76,7 +76,8 @@
 	}
 }
 
-// waitInQuarantine waits while a call is in quarantine, at most until a shutdown.
+// waitInQuarantine waits for the given time, at most maxQuarantineWait and only until a
+// shutdown.
 func (e *Entry) waitInQuarantine(left time.Duration) {
 	for until := time.Now().Add(min(maxQuarantineWait, left)); time.Now().Before(until) && !e.draining.Load(); {
 		time.Sleep(durableRetryInterval)
@@ -94,28 +95,28 @@
 	return e.claimAndRun(ctx, &round, out)
 }
 
-// String names the takeover service in the supervisor's log.
+// String names the take-over service in the supervisor's log.
 func (e *Entry) String() string { return "take-over of durable calls" }
 
 // Serve takes over durable calls whose instance is gone and runs them. One instance at a
 // time has this role. If two have it for a while, the replicated log lets only one of
 // them take over a call.
 func (e *Entry) Serve(ctx context.Context) error {
-	return loop.Every(ctx, takeoverInterval, func(time.Time) {
-		if !e.draining.Load() && e.holder.Fresh() && e.gossip.Holds(takeoverRole) {
-			e.takeover(ctx)
+	return loop.Every(ctx, takeOverInterval, func(time.Time) {
+		if !e.draining.Load() && e.holder.Fresh() && e.gossip.Holds(takeOverRole) {
+			e.takeOver(ctx)
 		}
 	})
 }
 
-func (e *Entry) takeover(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, takeoverInterval)
+func (e *Entry) takeOver(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, takeOverInterval)
 	defer cancel()
 	var alive []string
 	for _, i := range e.gossip.Instances() {
 		alive = append(alive, i.Owner())
 	}
-	orphans, err := e.replicas.Orphans(ctx, alive, takeoverBatch)
+	orphans, err := e.replicas.Orphans(ctx, alive, takeOverBatch)
 	if err != nil {
 		return
 	}
--- a/daemon/entry/execute.go
+++ b/daemon/entry/execute.go
@@ -17,8 +17,8 @@
 	// outcomeTimeout is how long after the deadline, when the caller has its answer, the
 	// entry still waits for an outcome to record.
 	outcomeTimeout = time.Minute
-	// deadlineGrace is how long after the deadline the caller's answer may still be the
-	// call's own.
+	// deadlineGrace is how long after the deadline the caller's answer waits for the
+	// result of a call that is just ending.
 	deadlineGrace = 100 * time.Millisecond
 	// recordTimeout bounds the recording of an outcome.
 	recordTimeout = 3 * time.Second
