--- a/daemon/replica/audit.go
+++ b/daemon/replica/audit.go
@@ -14,12 +14,13 @@
 
 const auditName = "audit.jsonl"
 
-// auditFile holds every audit entry that this replica has applied, one JSON
-// object per line. The consensus log covers what is not synced yet.
+// auditFile is an append-only file of all audit entries that this replica has
+// applied, one JSON object per line. Entries that are not synced yet can be
+// recovered from the consensus log.
 type auditFile struct {
 	path string
 	file *os.File
-	// last is the highest sequence in the file.
+	// last is the highest sequence number in the file.
 	last uint64
 }
 
@@ -34,7 +35,7 @@
 		return nil, eris.Wrap(err, "open audit file")
 	}
 	if err := f.Truncate(size); err != nil {
-		return nil, eris.Wrap(err, "cut torn audit line")
+		return nil, eris.Wrap(err, "truncate incomplete audit line")
 	}
 	if _, err := f.Seek(size, 0); err != nil {
 		return nil, eris.Wrap(err, "open audit file")
@@ -43,7 +44,8 @@
 	return a, nil
 }
 
-// scan reads whole lines and returns the length up to the last good one.
+// scan calls f with each entry up to the first incomplete or invalid line, and returns
+// the length of the file up to there.
 func (a *auditFile) scan(f func(state.AuditEntry)) (int64, error) {
 	file, err := os.Open(a.path)
 	if err != nil {
@@ -73,7 +75,7 @@
 			panic(err) // plain data; encoding to memory can't fail
 		}
 		if _, err := a.file.Write(append(line, '\n')); err != nil {
-			log.WithError(err).WithField("step", "write audit file").Error("audit file lacks an entry")
+			log.WithError(err).WithField("step", "write audit file").Error("audit entry not written")
 			return
 		}
 		a.last = e.Sequence
@@ -88,9 +90,10 @@
 	}
 }
 
+// auditPage is the maximum number of entries in a reply.
 const auditPage = 1000
 
-// since returns a page of entries above a sequence, from the file where the
+// since returns a page of the entries after a sequence number, from the file if the
 // state machine no longer holds them.
 func (a *auditFile) since(after uint64, m *state.Machine) []state.AuditEntry {
 	tail := m.Audit(after)
--- a/daemon/replica/directory.go
+++ b/daemon/replica/directory.go
@@ -5,40 +5,41 @@
 	"sync"
 )
 
-// Directory holds the peer addresses at which replicas are looked for. Either
-// the settings list all of them, or they list some seeds and the rest is
-// learned. Safe for concurrent use.
+// Directory holds the peer addresses of the replicas. Either the settings list all
+// of them, or they list some seeds and the rest is learned from replicas. Safe for
+// concurrent use.
 type Directory struct {
 	mu      sync.Mutex
 	seeds   []string
 	learned []string
-	// open: any authenticated instance with a data folder may join the group.
+	// open: any authenticated instance with a data folder may join the group, and members
+	// are replaced automatically.
 	open bool
 	// bootstrap: the seeds may form the first group.
 	bootstrap bool
 }
 
 // NewFixedDirectory returns a directory of exactly the given replicas, which
-// form the first group together.
+// are also the initial voters.
 func NewFixedDirectory(addresses []string) *Directory {
 	return &Directory{seeds: addresses, bootstrap: true}
 }
 
 // NewSeedDirectory returns a directory that starts from seeds. With bootstrap
-// the seeds are the first voters, and exactly they; every other replica, and
-// every empty one later, joins their group.
+// exactly the seeds are the initial voters; every other replica, and every
+// empty one later, joins their group.
 func NewSeedDirectory(seeds []string, bootstrap bool) *Directory {
 	return &Directory{seeds: seeds, open: true, bootstrap: bootstrap}
 }
 
-// SetSeeds replaces the seeds, which are only hints once a group exists.
+// SetSeeds replaces the seeds. Once a group exists they only help to find it.
 func (d *Directory) SetSeeds(seeds []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seeds = seeds
 }
 
-// Learn takes the group's members as a replica named them.
+// Learn sets the group's members as reported by a replica; an empty list is ignored.
 func (d *Directory) Learn(members []string) {
 	if len(members) == 0 {
 		return
@@ -48,7 +49,7 @@
 	d.learned = members
 }
 
-// Addresses returns all addresses worth asking.
+// Addresses returns the known addresses: the learned members and the seeds.
 func (d *Directory) Addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,9 +65,9 @@
 	return out
 }
 
-// founders returns the addresses that form the first group, nil when none may
-// be formed by an instance at self.
-func (d *Directory) founders(self string) []string {
+// initialVoters returns the addresses of the initial voters, nil if the instance at self is
+// not one of them.
+func (d *Directory) initialVoters(self string) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.bootstrap || !slices.Contains(d.seeds, self) {
--- a/daemon/replica/group.go
+++ b/daemon/replica/group.go
@@ -18,17 +18,18 @@
 	joinPeriod   = 500 * time.Millisecond
 )
 
-// findGroup makes a fresh replica part of a group, and keeps asking to be
-// admitted until it is a member. All replicas fresh: they form the first
-// group together. Any one in a group: this one joins it as a new member.
+// findGroup makes this replica a member of a group. If any reachable replica belongs
+// to a group, a replica without one joins it as a new member; if all initial voters
+// are without a group, they form it. A replica that is not a member, or has no leader,
+// repeats its request to join.
 func (r *Replica) findGroup(ctx context.Context) {
 	for ctx.Err() == nil {
-		id, member := r.memberOf()
+		id, member := r.identity()
 		switch {
 		case id.Group == 0:
-			r.tryFormGroup(ctx)
+			r.joinOrFormGroup(ctx)
 		case !member || r.leaderless.Load():
-			r.askToJoin(ctx, id.ID)
+			r.requestJoin(ctx, id.ID)
 		}
 		select {
 		case <-ctx.Done():
@@ -37,30 +38,30 @@
 	}
 }
 
-type ownIdentity struct{ ID, Group uint64 }
+type replicaIdentity struct{ ID, Group uint64 }
 
-func (r *Replica) memberOf() (ownIdentity, bool) {
+func (r *Replica) identity() (replicaIdentity, bool) {
 	type answer struct {
-		id     ownIdentity
+		id     replicaIdentity
 		member bool
 	}
 	ch := make(chan answer, 1)
 	r.do(func() {
 		id := r.store.Identity()
 		_, ok := r.node.Status().Membership.Find(id.ID)
-		ch <- answer{ownIdentity{id.ID, id.Group}, ok}
+		ch <- answer{replicaIdentity{id.ID, id.Group}, ok}
 	})
 	select {
 	case a := <-ch:
 		return a.id, a.member
 	case <-r.stopped:
-		return ownIdentity{}, true
+		return replicaIdentity{}, true
 	}
 }
 
-// tryFormGroup joins the group of any replica that has one; without one it
-// forms the first group, if all founders are there and empty.
-func (r *Replica) tryFormGroup(ctx context.Context) {
+// joinOrFormGroup joins the group of any replica that has one. Otherwise it forms the
+// first group if all initial voters are reachable and have no group.
+func (r *Replica) joinOrFormGroup(ctx context.Context) {
 	empty := map[string]uint64{}
 	for _, a := range r.opt.Directory.Addresses() {
 		h, err := r.hello(ctx, a)
@@ -78,22 +79,23 @@
 	r.formGroup(empty)
 }
 
-// formGroup starts the first group when all founders are empty. They are the
-// same set for each founder, hence so is the group's number.
+// formGroup starts the first group if none of the initial voters has one; empty maps the
+// addresses of replicas without a group to their IDs. All initial voters know the same set
+// and therefore derive the same group number.
 func (r *Replica) formGroup(empty map[string]uint64) {
-	founders := r.opt.Directory.founders(r.opt.Transport.Self())
-	if len(founders) == 0 {
+	initialVoters := r.opt.Directory.initialVoters(r.opt.Transport.Self())
+	if len(initialVoters) == 0 {
 		return
 	}
 	var members raft.Membership
-	for _, a := range founders {
+	for _, a := range initialVoters {
 		id, answered := empty[a]
 		if !answered {
 			return
 		}
 		members = members.With(raft.Member{ID: id, Address: a, Voter: true})
 	}
-	r.joinGroup(groupOf(members), members)
+	r.joinGroup(groupNumber(members), members)
 }
 
 func (r *Replica) hello(ctx context.Context, address string) (helloReply, error) {
@@ -104,9 +106,9 @@
 	return h, err
 }
 
-// groupOf derives the group's number from its first members, so that all of
-// them find the same one.
-func groupOf(m raft.Membership) uint64 {
+// groupNumber derives the group's number from the IDs of its initial members, so that all
+// of them compute the same one.
+func groupNumber(m raft.Membership) uint64 {
 	var ids []uint64
 	for _, x := range m.Members {
 		ids = append(ids, x.ID)
@@ -119,16 +121,16 @@
 	return xxhash.Sum64(data) | 1
 }
 
-// joinGroup starts the consensus state of a fresh replica: with the first
-// members at index 1, or empty, to be filled by the leader.
-func (r *Replica) joinGroup(group uint64, first raft.Membership) {
+// joinGroup initializes the consensus state of a replica without a group: with the
+// initial members at index 1, or empty, to be filled by the leader.
+func (r *Replica) joinGroup(group uint64, initial raft.Membership) {
 	r.do(func() {
 		if r.store.Identity().Group != 0 {
 			return
 		}
 		var snap raft.Snapshot
-		if len(first.Members) > 0 {
-			snap.Meta = raft.SnapshotMeta{Index: 1, Term: 1, Membership: first}
+		if len(initial.Members) > 0 {
+			snap.Meta = raft.SnapshotMeta{Index: 1, Term: 1, Membership: initial}
 		}
 		if err := r.store.Join(group, snap); err != nil {
 			log.WithError(err).WithField("step", "join group").Error("storage failed")
@@ -141,7 +143,7 @@
 	})
 }
 
-func (r *Replica) askToJoin(ctx context.Context, id uint64) {
+func (r *Replica) requestJoin(ctx context.Context, id uint64) {
 	c := NewClient(r.opt.Transport, r.opt.Directory)
 	ctx, cancel := context.WithTimeout(ctx, 2*joinPeriod)
 	defer cancel()
--- a/daemon/replica/reopen.go
+++ b/daemon/replica/reopen.go
@@ -13,16 +13,16 @@
 	"cardamomwick.example/daemon/storage"
 )
 
-// reopenPause is the wait before a failed data folder is tried again.
+// reopenPause is the pause before a failed data folder is opened again.
 const reopenPause = 500 * time.Millisecond
 
-// reopen loads the data folder anew after a failed write, until that works. The
-// process stays: its other parts don't need the disk. What was not persisted
-// was not promised to anyone.
+// reopen reloads the data folder after a failed write, and retries until that
+// succeeds. The process continues, since its other parts don't need the disk. Nothing
+// is lost: data that was not persisted was not acknowledged to anyone.
 func (r *Replica) reopen(ctx context.Context) error {
-	r.failWaiters()
+	r.failProposals()
 	r.failReads()
-	r.board.put(View{})
+	r.views.put(View{})
 	for {
 		select {
 		case <-ctx.Done():
@@ -37,7 +37,7 @@
 		if errors.Is(err, storage.ErrCorrupt) {
 			return eris.Wrap(suture.ErrTerminateSupervisorTree, err.Error())
 		}
-		log.WithError(err).WithField("step", "reopen storage").Warn("storage still fails")
+		log.WithError(err).WithField("step", "reopen storage").Warn("storage not available; will be retried")
 	}
 }
 
@@ -58,14 +58,14 @@
 	return r.restore(loaded)
 }
 
-// failReads answers reads that can't be confirmed any more.
+// failReads ends all open reads with errRetry.
 func (r *Replica) failReads() {
 	for context, done := range r.reads {
 		delete(r.reads, context)
 		done(errRetry)
 	}
-	for _, d := range r.due {
+	for _, d := range r.confirmed {
 		d.done(errRetry)
 	}
-	r.due = nil
+	r.confirmed = nil
 }
--- a/daemon/replica/replica.go
+++ b/daemon/replica/replica.go
@@ -22,86 +22,88 @@
 	tickPeriod     = 50 * time.Millisecond
 	electionTicks  = 10
 	heartbeatTicks = 2
-	// readPeriod is how long reads gather, so that one heartbeat round to the
+	// readPeriod is how long reads are batched, so that one heartbeat round to the
 	// followers confirms all of them. No call waits for a read before it is sent.
-	readPeriod     = 20 * time.Millisecond
-	maintainPeriod = 200 * time.Millisecond
-	// leaderlessAfter is two of the longest election timeouts.
+	readPeriod       = 20 * time.Millisecond
+	membershipPeriod = 200 * time.Millisecond
+	// leaderlessAfter is twice the maximum election timeout.
 	leaderlessAfter = 2 * time.Second
-	transferLimit   = 2 * time.Second
+	transferTimeout = 2 * time.Second
 )
 
 // Bounds of the replica.
 const (
-	// snapshotEvery is how many applied entries make a snapshot due.
-	snapshotEvery = 5000
-	// keepEntries stay in the log after a snapshot, for followers that lag.
-	keepEntries = 1000
-	inboxLength = 8192
-	maxBatch    = 1024
+	// snapshotInterval is the number of applied entries between two snapshots.
+	snapshotInterval = 5000
+	// keptEntries is the number of entries kept in the log after a snapshot, for
+	// followers that lag.
+	keptEntries   = 1000
+	inboxLength   = 8192
+	maxInboxBatch = 1024
 )
 
-// errRetry: leadership was lost while a request was open. The command may or
-// may not be committed; sending it again is safe.
+// errRetry reports that leadership was lost while a request was open. The command
+// may or may not be committed; it is safe to send it again.
 var errRetry = eris.New("leadership changed; send again")
 
-// Options sets up a Replica.
+// Options configures a Replica.
 type Options struct {
 	Transport *frame.Transport
 	// Folder is the data folder.
 	Folder string
-	// Directory tells where the other replicas are.
+	// Directory holds the addresses of the other replicas.
 	Directory *Directory
-	// Operators are trusted until the first bundle; name to public key.
+	// Operators maps the names of the operators that are trusted until the first bundle
+	// to their public keys.
 	Operators map[string]string
 }
 
-// Replica is one member of the group. It is a suture service.
+// Replica is one member of the replica group. It implements suture.Service.
 type Replica struct {
 	opt     Options
 	inbox   chan func()
 	stopped chan struct{}
-	// The fields below belong to the run loop.
-	store      *storage.Store
-	node       *raft.Node
-	machine    *state.Machine
-	audit      *auditFile
-	applied    uint64
-	snapshotAt uint64
-	waiters    map[uint64]waiter
-	reads      map[uint64]func(error)
-	gathered   []func(error)
-	due        []dueRead
-	readSeq    uint64
-	leading    bool
-	leadTerm   uint64
-	incoming   map[uint64][]byte
-	sending    map[uint64]bool
-	// heardFrom holds the senders' peer addresses: a replica that has no
-	// membership yet answers there.
-	heardFrom map[uint64]string
-	// heardAt is when a member's last message came.
-	heardAt      map[uint64]time.Time
+	// The following fields, up to leaderless, are accessed by the run loop only.
+	store        *storage.Store
+	node         *raft.Node
+	machine      *state.Machine
+	audit        *auditFile
+	applied      uint64
+	snapshotAt   uint64
+	proposals    map[uint64]proposal
+	reads        map[uint64]func(error)
+	batchedReads []func(error)
+	confirmed    []confirmedRead
+	readSeq      uint64
+	leading      bool
+	leadTerm     uint64
+	incoming     map[uint64][]byte
+	sending      map[uint64]bool
+	// senderAddress holds the peer addresses of message senders: a replica that has no
+	// membership yet replies to them.
+	senderAddress map[uint64]string
+	// lastMessage is when each member's last message arrived.
+	lastMessage  map[uint64]time.Time
 	leadingSince time.Time
-	// leaderSeen is when this replica last knew a leader.
-	leaderSeen time.Time
+	// leaderKnownAt is when this replica last knew a leader.
+	leaderKnownAt time.Time
 
-	// leaderless: no leader has been known for leaderlessAfter. A replica that
-	// was ended while it was cut off learns of that only by asking to join.
+	// leaderless: no leader has been known for leaderlessAfter. A replica that was
+	// removed from the group while it was cut off finds out only by a request to join.
 	leaderless atomic.Bool
-	board      *viewBoard
-	// duties is what the log holds of duties, beside the board: it changes several times
-	// a second, and nobody waits for it.
+	views      *viewHolder
+	// duties is the state of duties in the log. It is not part of the view, since it
+	// changes several times a second, which would wake the view's readers.
 	duties atomic.Pointer[state.Duties]
 }
 
-type waiter struct {
+type proposal struct {
 	term uint64
 	done func(state.Result, error)
 }
 
-// dueRead waits until the state machine has applied index.
-type dueRead struct {
+// confirmedRead is a confirmed read that waits until the state machine has applied index.
+type confirmedRead struct {
 	index uint64
 	done  func(error)
 }
@@ -113,11 +115,11 @@
 		return nil, err
 	}
 	if loaded.TornBytes > 0 {
-		log.WithField("bytes", loaded.TornBytes).WithField("step", "open storage").Warn("cut a torn record off the log")
+		log.WithField("bytes", loaded.TornBytes).WithField("step", "open storage").Warn("truncated an incomplete record at the end of the log")
 	}
 	r := &Replica{opt: opt, inbox: make(chan func(), inboxLength), stopped: make(chan struct{}), store: store, machine: state.New(),
-		waiters: map[uint64]waiter{}, reads: map[uint64]func(error){}, incoming: map[uint64][]byte{}, sending: map[uint64]bool{},
-		heardFrom: map[uint64]string{}, heardAt: map[uint64]time.Time{}, board: newViewBoard()}
+		proposals: map[uint64]proposal{}, reads: map[uint64]func(error){}, incoming: map[uint64][]byte{}, sending: map[uint64]bool{},
+		senderAddress: map[uint64]string{}, lastMessage: map[uint64]time.Time{}, views: newViewHolder()}
 	if err := r.restore(loaded); err != nil {
 		return nil, err
 	}
@@ -145,14 +147,14 @@
 // String names the service in the supervisor's log.
 func (r *Replica) String() string { return "replica" }
 
-// Serve runs the replica until the context ends, handing leadership on first.
+// Serve runs the replica until the context ends; it transfers leadership before it returns.
 func (r *Replica) Serve(ctx context.Context) error {
 	defer close(r.stopped)
 	go r.findGroup(ctx)
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
-	maintain := time.NewTicker(maintainPeriod)
-	defer maintain.Stop()
+	membershipCheck := time.NewTicker(membershipPeriod)
+	defer membershipCheck.Stop()
 	reads := time.NewTicker(readPeriod)
 	defer reads.Stop()
 	for {
@@ -161,11 +163,11 @@
 			return r.shutdown(ctx)
 		case <-ticker.C:
 			r.node.Tick()
-		case <-maintain.C:
-			r.maintain()
-			r.noteLeaderless()
+		case <-membershipCheck.C:
+			r.maintainMembership()
+			r.updateLeaderless()
 		case <-reads.C:
-			if len(r.gathered) == 0 {
+			if len(r.batchedReads) == 0 {
 				continue
 			}
 			r.startReads()
@@ -174,7 +176,7 @@
 			r.drainInbox()
 		}
 		if err := r.process(); err != nil {
-			log.WithError(err).WithField("step", "persist").Error("storage failed; the replica leaves the group's work until it is back")
+			log.WithError(err).WithField("step", "persist").Error("storage failed; the replica is out of service until it is available again")
 			if err := r.reopen(ctx); err != nil {
 				return err
 			}
@@ -182,16 +184,16 @@
 	}
 }
 
-func (r *Replica) noteLeaderless() {
+func (r *Replica) updateLeaderless() {
 	if r.node.LeaderID() != raft.None || r.store.Identity().Group == 0 {
-		r.leaderSeen = time.Now()
+		r.leaderKnownAt = time.Now()
 	}
-	r.leaderless.Store(time.Since(r.leaderSeen) >= leaderlessAfter)
+	r.leaderless.Store(time.Since(r.leaderKnownAt) >= leaderlessAfter)
 }
 
-// drainInbox takes what has gathered, so that one sync serves many.
+// drainInbox runs the queued functions, so that one sync covers all of them.
 func (r *Replica) drainInbox() {
-	for range maxBatch {
+	for range maxInboxBatch {
 		select {
 		case f := <-r.inbox:
 			f()
@@ -203,7 +205,7 @@
 
 func (r *Replica) shutdown(ctx context.Context) error {
 	r.node.TransferLeadership()
-	deadline := time.Now().Add(transferLimit)
+	deadline := time.Now().Add(transferTimeout)
 	for time.Now().Before(deadline) {
 		if err := r.process(); err != nil {
 			return err
@@ -217,18 +219,18 @@
 		case <-time.After(tickPeriod):
 		}
 	}
-	r.failWaiters()
+	r.failProposals()
 	r.audit.close()
 	r.store.Close()
 	return ctx.Err()
 }
 
-// process takes the node's batches: persist, send, apply.
+// process handles the node's pending output: it persists, sends and applies it.
 func (r *Replica) process() error {
 	for r.node.HasReady() {
 		rd := r.node.Ready()
-		now, later := splitMessages(rd.Messages)
-		r.send(now)
+		early, afterSync := splitMessages(rd.Messages)
+		r.send(early)
 		if rd.Snapshot != nil {
 			if err := r.installSnapshot(rd); err != nil {
 				return err
@@ -239,28 +241,28 @@
 				return err
 			}
 		}
-		r.send(later)
+		r.send(afterSync)
 		r.apply(rd.Committed)
 		r.node.Advance(rd)
-		r.takeReads(rd.Reads)
+		r.confirmReads(rd.Reads)
 	}
-	r.noteLeadership()
+	r.handleLeadershipChange()
 	r.publishView()
 	return r.snapshotIfDue()
 }
 
-// splitMessages tells a leader's appends and heartbeats, which may leave while
-// its own disk syncs, from promises, which may not.
-func splitMessages(list []raft.Message) (now, later []raft.Message) {
+// splitMessages separates messages that may be sent before the local disk is synced, such
+// as a leader's appends and heartbeats, from votes and acknowledgements, which may not.
+func splitMessages(list []raft.Message) (early, afterSync []raft.Message) {
 	for _, m := range list {
 		switch m.Type {
 		case raft.MsgAppend, raft.MsgHeartbeat, raft.MsgPreVote, raft.MsgPreVoteReply:
-			now = append(now, m)
+			early = append(early, m)
 		default:
-			later = append(later, m)
+			afterSync = append(afterSync, m)
 		}
 	}
-	return now, later
+	return early, afterSync
 }
 
 func (r *Replica) send(list []raft.Message) {
@@ -274,7 +276,7 @@
 		byMember[m.To] = append(byMember[m.To], m)
 	}
 	for id, msgs := range byMember {
-		address := r.heardFrom[id]
+		address := r.senderAddress[id]
 		if member, ok := members.Find(id); ok {
 			address = member.Address
 		}
@@ -295,11 +297,11 @@
 		if e.Type == raft.EntryCommand {
 			res = r.machine.Apply(e.Data)
 		}
-		w, ok := r.waiters[e.Index]
+		w, ok := r.proposals[e.Index]
 		if !ok {
 			continue
 		}
-		delete(r.waiters, e.Index)
+		delete(r.proposals, e.Index)
 		if w.term != e.Term {
 			w.done(state.Result{}, errRetry)
 			continue
@@ -312,7 +314,7 @@
 	}
 }
 
-func (r *Replica) takeReads(list []raft.ReadState) {
+func (r *Replica) confirmReads(list []raft.ReadState) {
 	for _, rs := range list {
 		done := r.reads[rs.Context]
 		delete(r.reads, rs.Context)
@@ -323,26 +325,27 @@
 			done(errRetry)
 			continue
 		}
-		r.due = append(r.due, dueRead{rs.Index, done})
+		r.confirmed = append(r.confirmed, confirmedRead{rs.Index, done})
 	}
 	r.releaseReads()
 }
 
 func (r *Replica) releaseReads() {
-	kept := r.due[:0]
-	for _, d := range r.due {
+	pending := r.confirmed[:0]
+	for _, d := range r.confirmed {
 		if d.index > r.applied {
-			kept = append(kept, d)
+			pending = append(pending, d)
 			continue
 		}
 		d.done(nil)
 	}
-	r.due = kept
+	r.confirmed = pending
 }
 
-// noteLeadership fails what waits when leadership is lost and introduces the
-// operators when it is won over an empty state.
-func (r *Replica) noteLeadership() {
+// handleLeadershipChange handles a change of leadership. It fails open proposals and reads when
+// leadership is lost, and proposes the initial operators when it is won; the state machine
+// ignores them unless its state is empty.
+func (r *Replica) handleLeadershipChange() {
 	lead, term := r.node.Leading()
 	if lead == r.leading && (!lead || term == r.leadTerm) {
 		return
@@ -351,22 +354,22 @@
 	r.leadingSince = time.Now()
 	log.WithField("term", term).WithField("leader", lead).Info("leadership")
 	if !lead {
-		r.failWaiters()
+		r.failProposals()
 		return
 	}
 	bootstrap := state.Command{Type: state.CommandBootstrap, Operators: r.opt.Operators}
 	r.node.Propose(bootstrap.Encode())
 }
 
-func (r *Replica) failWaiters() {
+func (r *Replica) failProposals() {
 	r.startReads()
-	for i, w := range r.waiters {
-		delete(r.waiters, i)
+	for i, w := range r.proposals {
+		delete(r.proposals, i)
 		w.done(state.Result{}, errRetry)
 	}
 }
 
-// do runs f in the loop; false when the replica has stopped.
+// do runs f in the run loop; it returns false if the replica has stopped.
 func (r *Replica) do(f func()) bool {
 	select {
 	case r.inbox <- f:
@@ -376,7 +379,7 @@
 	}
 }
 
-// propose appends a command; done is called once, from the loop.
+// propose appends a command to the log; done is called once, from the run loop.
 func (r *Replica) propose(c *state.Command, done func(state.Result, error)) {
 	c.NowMillis = time.Now().UnixMilli()
 	index, term, err := r.node.Propose(c.Encode())
@@ -384,22 +387,22 @@
 		done(state.Result{}, err)
 		return
 	}
-	r.waiters[index] = waiter{term, done}
+	r.proposals[index] = proposal{term, done}
 }
 
-// read calls done once a linearizable read is possible, from the loop.
+// read calls done, from the run loop, once a linearizable read is possible.
 func (r *Replica) read(done func(error)) {
 	if lead, _ := r.node.Leading(); !lead {
 		done(raft.ErrNotLeader)
 		return
 	}
-	r.gathered = append(r.gathered, done)
+	r.batchedReads = append(r.batchedReads, done)
 }
 
-// startReads asks for a read point for all gathered reads.
+// startReads requests a read index for all batched reads.
 func (r *Replica) startReads() {
-	list := r.gathered
-	r.gathered = nil
+	list := r.batchedReads
+	r.batchedReads = nil
 	for _, done := range list {
 		r.readSeq++
 		r.reads[r.readSeq] = done
@@ -410,7 +413,7 @@
 	}
 }
 
-// leaderHint returns a redirect to the known leader.
+// leaderHint returns a redirect to the leader, if known.
 func (r *Replica) leaderHint(err error) redirect {
 	out := redirect{NotLeader: true, Retry: eris.Is(err, errRetry)}
 	if m, ok := r.node.Status().Membership.Find(r.node.LeaderID()); ok && m.ID != r.store.Identity().ID {
@@ -445,8 +448,8 @@
 			return
 		}
 		for _, m := range env.Messages {
-			r.heardFrom[m.From] = from
-			r.heardAt[m.From] = time.Now()
+			r.senderAddress[m.From] = from
+			r.lastMessage[m.From] = time.Now()
 			r.node.Step(m)
 		}
 	})
--- a/daemon/replica/serve.go
+++ b/daemon/replica/serve.go
@@ -11,7 +11,7 @@
 	"cardamomwick.example/core/wire"
 )
 
-// run executes f in the loop and waits for the value that it hands to reply.
+// run executes f in the run loop and waits for the value passed to reply.
 func run[T any](ctx context.Context, r *Replica, f func(reply func(T))) (any, error) {
 	ch := make(chan T, 1)
 	if !r.do(func() { f(func(v T) { ch <- v }) }) {
@@ -27,7 +27,8 @@
 	}
 }
 
-// readThen answers a linearizable read with what value returns.
+// readThen performs a linearizable read: it returns value(), or refused() on a replica that
+// is not the leader.
 func readThen[T any](ctx context.Context, r *Replica, refused func(redirect) T, value func() T) (any, error) {
 	return run(ctx, r, func(reply func(T)) {
 		r.read(func(err error) {
@@ -147,7 +148,7 @@
 		func() sourceReply { return sourceReply{Source: r.machine.Routing().Declared.Source} })
 }
 
-// handleJoin admits a replica with a new identity as a learner, if the
+// handleJoin adds a replica with a new identity to the group as a learner, if the
 // directory admits its address.
 func (r *Replica) handleJoin(ctx context.Context, from string, body []byte) (any, error) {
 	var req joinRequest
--- a/daemon/replica/snapshots.go
+++ b/daemon/replica/snapshots.go
@@ -20,9 +20,10 @@
 
 func randomInt(n int) int { return rand.IntN(n) }
 
-// snapshotIfDue saves a snapshot and shortens the log.
+// snapshotIfDue saves a snapshot and compacts the log after snapshotInterval entries, or when
+// the log has reached the size of a segment.
 func (r *Replica) snapshotIfDue() error {
-	if r.applied == r.snapshotAt || (r.applied-r.snapshotAt < snapshotEvery && r.store.Size() < storage.SegmentBytes) {
+	if r.applied == r.snapshotAt || (r.applied-r.snapshotAt < snapshotInterval && r.store.Size() < storage.SegmentBytes) {
 		return nil
 	}
 	if err := r.audit.sync(); err != nil {
@@ -34,13 +35,13 @@
 		return err
 	}
 	r.snapshotAt = r.applied
-	if r.applied > keepEntries {
-		r.node.Compact(r.applied - keepEntries)
+	if r.applied > keptEntries {
+		r.node.Compact(r.applied - keptEntries)
 	}
 	return nil
 }
 
-// installSnapshot replaces the state by one from the leader.
+// installSnapshot replaces the state by a snapshot from the leader.
 func (r *Replica) installSnapshot(rd raft.Ready) error {
 	if err := r.machine.Restore(rd.Snapshot.Data); err != nil {
 		return eris.Wrap(err, "restore the leader's snapshot")
@@ -56,15 +57,15 @@
 	return nil
 }
 
-// sendSnapshot streams the state to a replica in chunks, outside the
-// loop, and reports when it is done.
+// sendSnapshot streams the state to a replica in chunks, outside the run loop, and reports
+// to the node when it is done.
 func (r *Replica) sendSnapshot(m raft.Message, members raft.Membership) {
 	member, ok := members.Find(m.To)
 	if !ok || r.sending[m.To] {
 		return
 	}
-	// The current state is newer than the stored snapshot and never behind the
-	// first entry of the log.
+	// The current state is sent rather than the stored snapshot: it is newer and never
+	// older than the first entry of the log.
 	data := r.machine.Snapshot()
 	m.Snapshot = &raft.Snapshot{Meta: r.node.SnapshotMetaAt(r.applied)}
 	r.sending[m.To] = true
@@ -72,7 +73,7 @@
 	go func() {
 		err := r.streamSnapshot(member.Address, group, m, data)
 		if err != nil {
-			log.WithError(err).WithField("step", "send snapshot").WithField("peer", member.Address).Warn("will be sent again")
+			log.WithError(err).WithField("step", "send snapshot").WithField("peer", member.Address).Warn("snapshot not sent; will be retried")
 		}
 		r.do(func() {
 			delete(r.sending, m.To)
@@ -101,33 +102,34 @@
 		return nil, err
 	}
 	if c.Message.Snapshot == nil {
-		return nil, eris.New("snapshot chunk names no snapshot")
+		return nil, eris.New("snapshot chunk without a snapshot")
 	}
 	return run(ctx, r, func(reply func(bool)) {
-		reply(r.takeChunk(&c))
+		reply(r.addChunk(&c))
 	})
 }
 
-// takeChunk gathers chunks per sender and steps the message when complete.
-func (r *Replica) takeChunk(c *snapshotChunk) bool {
+// addChunk collects chunks per sender and passes the message to the node when it is
+// complete. It returns false if the chunk does not fit the ones before.
+func (r *Replica) addChunk(c *snapshotChunk) bool {
 	if c.Group != r.store.Identity().Group {
 		return false
 	}
-	got := r.incoming[c.Message.From]
+	received := r.incoming[c.Message.From]
 	if c.Offset == 0 {
-		got = nil
+		received = nil
 	}
-	if c.Offset != len(got) || len(got)+len(c.Data) > maxSnapshotBytes {
+	if c.Offset != len(received) || len(received)+len(c.Data) > maxSnapshotBytes {
 		delete(r.incoming, c.Message.From)
 		return false
 	}
-	got = append(got, c.Data...)
+	received = append(received, c.Data...)
 	if !c.Last {
-		r.incoming[c.Message.From] = got
+		r.incoming[c.Message.From] = received
 		return true
 	}
 	delete(r.incoming, c.Message.From)
-	c.Message.Snapshot.Data = got
+	c.Message.Snapshot.Data = received
 	r.node.Step(c.Message)
 	return true
 }
--- a/daemon/replica/wire.go
+++ b/daemon/replica/wire.go
@@ -1,7 +1,7 @@
-// Package replica runs one member of the replica group on an instance with a
-// data folder: it drives the pure consensus state machine, persists what it
-// must, applies what is committed, and serves proposals and linearizable reads
-// to all instances. Client is the other side, used by every instance.
+// Package replica runs a member of the replica group on an instance with a data
+// folder: it drives the raft node, persists its log, applies committed entries to
+// the state machine, and serves proposals and linearizable reads to all instances.
+// Client, used by every instance, sends these requests to the leader.
 package replica
 
 import (
@@ -28,13 +28,13 @@
 	methodSource   = "replica.source"
 )
 
-// raftEnvelope carries messages of one group.
+// raftEnvelope carries raft messages of one group.
 type raftEnvelope struct {
 	Group    uint64         `msgpack:"g"`
 	Messages []raft.Message `msgpack:"m"`
 }
 
-// snapshotChunk is a part of a snapshot; Last completes it.
+// snapshotChunk is a part of a snapshot; Last marks the final one.
 type snapshotChunk struct {
 	Group   uint64       `msgpack:"g"`
 	Message raft.Message `msgpack:"m"`
@@ -53,29 +53,30 @@
 	Address string `msgpack:"a"`
 }
 
-// redirect is part of every reply that only the leader can give.
+// redirect is embedded in the replies to requests that only the leader can serve.
 type redirect struct {
 	NotLeader bool   `msgpack:"n,omitempty"`
 	Leader    string `msgpack:"l,omitempty"`
-	// Retry: leadership changed while the request was open.
+	// Retry: the leadership changed while the request was open, or another membership
+	// change is in progress; the request must be sent again.
 	Retry bool `msgpack:"r,omitempty"`
 }
 
-func (r redirect) where() redirect { return r }
+func (r redirect) redirection() redirect { return r }
 
-type redirected interface{ where() redirect }
+type redirectable interface{ redirection() redirect }
 
 // Redirect is embedded in the replies of other packages' leader-only methods.
 type Redirect = redirect
 
-// NotLeaderReply names the leader that a replica knows of.
+// NotLeaderReply returns a redirect to the leader in a replica's view.
 func NotLeaderReply(v View) Redirect {
 	return Redirect{NotLeader: true, Leader: v.Leader}
 }
 
-// CallLeader sends a request to the leader, wherever it is, until it has
-// answered or the context ends. The request must be safe to send again.
-func CallLeader[T redirected](ctx context.Context, c *Client, method string, in any) (T, error) {
+// CallLeader sends a request to replicas until the leader has answered or the context
+// ends. The request must be idempotent.
+func CallLeader[T redirectable](ctx context.Context, c *Client, method string, in any) (T, error) {
 	return call[T](ctx, c, method, in)
 }
 
@@ -92,15 +93,15 @@
 	Generation uint64 `msgpack:"g"`
 }
 
-// LeaseLength is how long the leader's answer to a lease request may be acted
-// on, counted from the sending of the request.
+// LeaseLength is the validity of a lease from the leader, counted from the time at which
+// the request was sent.
 const LeaseLength = 2 * time.Second
 
-// Lease is a configuration update that a quorum stood behind.
+// Lease is a configuration update that was read with the confirmation of a quorum.
 type Lease struct {
 	Group  uint64       `msgpack:"g"`
 	Update state.Update `msgpack:"u"`
-	// Valid counts from the sending of the request.
+	// Valid is the lease's validity from the time at which the request was sent.
 	Valid time.Duration `msgpack:"v"`
 }
 
@@ -133,7 +134,7 @@
 	Orphans  []state.Orphan `msgpack:"v"`
 }
 
-// sourceReply carries the declaration in force as the operator sent it.
+// sourceReply carries the declaration in force as the operator sent it, compressed.
 type sourceReply struct {
 	redirect `msgpack:",inline"`
 	Source   []byte `msgpack:"s"`
