--- a/ctl/prove/red.sh
+++ b/ctl/prove/red.sh
@@ -35,7 +35,7 @@
 broken no-claim             daemon/entry/execute.go        's/rep := e\.claim\(c\)$/var rep *reply/'                         prove  TestOnceServerSilent
 broken no-quarantine        daemon/entry/attempt.go        's/; held \{$/; held \&\& false {/'                          prove  TestLethalCallsAreKeptFromTheServers
 broken no-take-over         daemon/entry/durable.go        's/e\.gossip\.Holds\(takeOverRole\)/false/'         prove  TestDurableTakenOver
-broken no-lease             daemon/lease/lease.go          's/return until != nil \&\& time\.Now\(\)\.Before\(\*until\)/return until != nil/' prove TestRetireWhileEntryCutOff
+broken no-lease             daemon/lease/lease.go          's/return until != nil \&\& h\.now\(\)\.Before\(\*until\)/return until != nil/' prove TestRetireWhileEntryCutOff
 broken no-drain             daemon/daemon.go               's/if err := d\.entry\.Wait\(ctx\); err != nil/if err := ctx.Err(); err != nil/' prove TestGracefulShutdown
 broken resume-from-start    daemon/entry/attempt.go        's/backend\.Resume\(ctx, t, events\)/backend.Resume(ctx, t, 0)/;s/text, before := out\.partial\(\)/text, before := "", 0/' prove TestAnswersWhole
 broken last-writer-wins     core/state/orders.go           's/if v == nil \{/if v == nil || v.Digest != o.Digest {/;s/if o\.Version <= s\.highest/if o.Version < s.highest/' prove TestOperatorsRace
--- a/daemon/lease/lease.go
+++ b/daemon/lease/lease.go
@@ -1,8 +1,9 @@
-// Package lease keeps an instance's configuration fresh. A lease is a round
-// trip that a quorum of replicas stood behind, counted from the moment at which
-// the request was sent, on a clock that goes on while the machine is suspended. A round trip begun
-// after a change was committed carries the change; one begun before has run
-// out one lease length later. So nothing older than that is ever acted on.
+// Package lease keeps an instance's configuration up to date. A lease is granted by
+// a request that a quorum of replicas confirmed. Its validity counts from the time at
+// which the request was sent, on a clock that includes suspension of the machine. A
+// request sent after a change was committed returns the change, and a lease requested
+// before that expires within one lease length. So no instance acts on a configuration
+// that was replaced more than one lease length ago.
 package lease
 
 import (
@@ -23,22 +24,22 @@
 
 // Timing of leases.
 const (
-	// renewPeriod is the pause between two round trips.
+	// renewPeriod is the interval between two renewals.
 	renewPeriod = 300 * time.Millisecond
-	// tryTimeout bounds one round trip, so that its late answer is still worth
-	// something.
-	tryTimeout = 1200 * time.Millisecond
+	// renewTimeout bounds one renewal: a later reply would be valid for too short a time,
+	// since a lease counts from the sending of its request.
+	renewTimeout = 1200 * time.Millisecond
 )
 
-// wholeUpdate asks for the full configuration: no generation is that high.
-const wholeUpdate = math.MaxUint64
+// fullUpdate requests the full configuration: no instance has a generation that high.
+const fullUpdate = math.MaxUint64
 
-// Source answers lease requests; replica.Client is one.
+// Source grants leases; replica.Client implements it.
 type Source interface {
 	Lease(ctx context.Context, generation uint64) (replica.Lease, error)
 }
 
-// Holder holds the lease of one instance. It is a suture service.
+// Holder holds the lease of one instance. It implements suture.Service.
 type Holder struct {
 	source   Source
 	onChange []func(state.Config)
@@ -47,46 +48,46 @@
 	mu     sync.Mutex
 	group  uint64
 	lapsed bool
-	// now is boottime.Now; tests suspend the machine with it.
+	// now is boottime.Now; tests replace it to simulate suspension.
 	now func() time.Time
-	// history is what this instance passes on to others.
+	// history holds the configuration and the updates that children request.
 	history    state.History
 	config     atomic.Pointer[state.Config]
 	validUntil atomic.Pointer[time.Time]
 }
 
-// New returns a holder without a lease. isolated is told when the lease lapses
-// and when it is back.
+// New returns a holder without a lease. It calls isolated with true when the lease
+// lapses and with false when it is fresh again.
 func New(source Source, isolated func(bool)) *Holder {
 	h := &Holder{source: source, isolated: isolated, lapsed: true, now: boottime.Now, history: state.NewHistory()}
 	h.publish()
 	return h
 }
 
-// publish refreshes the copy that readers use.
+// publish updates the configuration that readers load without a lock.
 func (h *Holder) publish() state.Config {
 	c := h.history.Current()
 	h.config.Store(&c)
 	return c
 }
 
-// SetSource replaces where leases come from.
+// SetSource replaces the source of leases.
 func (h *Holder) SetSource(s Source) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.source = s
 }
 
-// ask requests a lease from the source.
-func (h *Holder) ask(ctx context.Context, generation uint64) (replica.Lease, error) {
+// request asks the source for a lease and the updates since a generation.
+func (h *Holder) request(ctx context.Context, generation uint64) (replica.Lease, error) {
 	h.mu.Lock()
 	s := h.source
 	h.mu.Unlock()
 	return s.Lease(ctx, generation)
 }
 
-// OnChange registers a function that is called with each new configuration.
-// Register before Serve.
+// OnChange registers a function that is called with each new configuration. Call
+// it before Serve.
 func (h *Holder) OnChange(f func(state.Config)) { h.onChange = append(h.onChange, f) }
 
 // String names the service in the supervisor's log.
@@ -96,23 +97,23 @@
 func (h *Holder) Serve(ctx context.Context) error {
 	return loop.Every(ctx, renewPeriod, func(time.Time) {
 		h.renew(ctx)
-		h.noteLapse()
+		h.reportFreshness()
 	})
 }
 
 func (h *Holder) renew(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	sent := h.now()
-	l, err := h.ask(ctx, h.Config().Generation)
+	l, err := h.request(ctx, h.Config().Generation)
 	if err != nil {
 		log.WithError(eris.Cause(err)).WithField("step", "renew lease").Debug("no lease")
 		return
 	}
 	if err := h.accept(sent, l); err != nil {
-		log.WithError(err).WithField("step", "renew lease").Warn("update refused; asking for all")
+		log.WithError(err).WithField("step", "renew lease").Warn("update rejected; requesting the full configuration")
 		sent = h.now()
-		if l, err = h.ask(ctx, wholeUpdate); err == nil {
+		if l, err = h.request(ctx, fullUpdate); err == nil {
 			err = h.accept(sent, l)
 		}
 		if err != nil {
@@ -121,8 +122,8 @@
 	}
 }
 
-// accept takes an answer. A generation never goes back, and the replicas of
-// another group are not believed.
+// accept applies a granted lease. It rejects leases with an older generation and
+// leases from another replica group.
 func (h *Holder) accept(sent time.Time, l replica.Lease) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// noteLapse tells about the change between fresh and lapsed.
-func (h *Holder) noteLapse() {
+// reportFreshness reports a change between fresh and lapsed.
+func (h *Holder) reportFreshness() {
 	fresh := h.Fresh()
 	h.mu.Lock()
 	changed := h.lapsed == fresh
@@ -162,17 +163,17 @@
 	h.isolated(!fresh)
 }
 
-// Config returns the latest known configuration, fresh or not.
+// Config returns the latest known configuration, whether the lease is fresh or not.
 func (h *Holder) Config() state.Config { return *h.config.Load() }
 
-// Fresh reports whether the configuration may be acted on now.
+// Fresh reports whether the lease is valid, so that the configuration may be acted on.
 func (h *Holder) Fresh() bool {
 	until := h.validUntil.Load()
 	return until != nil && h.now().Before(*until)
 }
 
-// StaleFor returns for how long the lease has been lapsed; the largest
-// duration when there never was one.
+// StaleFor returns the time since the lease lapsed, 0 for a fresh one and the maximum
+// duration if there never was one.
 func (h *Holder) StaleFor() time.Duration {
 	until := h.validUntil.Load()
 	if until == nil {
@@ -181,11 +182,11 @@
 	return max(0, h.now().Sub(*until))
 }
 
-// PassOn returns this instance's lease for another one that holds an older
-// generation: what is left of it now. The asking instance counts it from the
-// sending of its own request, which was earlier, so that its lease never
-// outlasts this one. ok is false without a fresh lease.
-func (h *Holder) PassOn(generation uint64) (l replica.Lease, ok bool) {
+// Delegate returns a lease for an instance with the given generation, valid for the
+// remaining time of this instance's lease. The requesting instance counts that time
+// from the sending of its request, which was earlier, so its lease never outlasts
+// this one. ok is false without a fresh lease.
+func (h *Holder) Delegate(generation uint64) (l replica.Lease, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	until := h.validUntil.Load()
--- a/daemon/lease/lease_test.go
+++ b/daemon/lease/lease_test.go
@@ -11,16 +11,16 @@
 	"cardamomwick.example/daemon/replica"
 )
 
-// source answers with fixed leases after a delay.
+// source returns a fixed lease after a delay.
 type source struct {
-	delay time.Duration
-	lease replica.Lease
-	err   error
-	asked []uint64
+	delay     time.Duration
+	lease     replica.Lease
+	err       error
+	requested []uint64
 }
 
 func (s *source) Lease(_ context.Context, generation uint64) (replica.Lease, error) {
-	s.asked = append(s.asked, generation)
+	s.requested = append(s.requested, generation)
 	time.Sleep(s.delay)
 	return s.lease, s.err
 }
@@ -36,7 +36,7 @@
 	h.renew(context.Background())
 	until := *h.validUntil.Load()
 	if until.After(before.Add(replica.LeaseLength + 50*time.Millisecond)) {
-		t.Fatalf("valid until %v after the request was sent", until.Sub(before))
+		t.Fatalf("lease is valid for %v from the sending of the request, want at most %v", until.Sub(before), replica.LeaseLength)
 	}
 	if !h.Fresh() || h.Config().Generation != 4 {
 		t.Fatal("no lease")
@@ -62,19 +62,19 @@
 			t.Fatalf("accepted group %d generation %d after group 1 generation 9", l.Group, l.Update.Generation)
 		}
 	}
-	if last := s.asked[len(s.asked)-1]; last != wholeUpdate {
-		t.Fatalf("after a refused update asked from %d, want all", last)
+	if last := s.requested[len(s.requested)-1]; last != fullUpdate {
+		t.Fatalf("after a rejected update generation %d was requested, want the full configuration", last)
 	}
 }
 
-// TestPassedOnLeaseNeverOutlastsItsSource: over a chain of instances with slow
-// questions each lease ends no later than the one it came from.
-func TestPassedOnLeaseNeverOutlastsItsSource(t *testing.T) {
+// TestDelegatedLeaseNeverOutlastsItsSource checks that over a chain of instances with slow
+// requests each lease ends no later than its parent's.
+func TestDelegatedLeaseNeverOutlastsItsSource(t *testing.T) {
 	top := New(&source{lease: full(1, 3)}, func(bool) {})
 	top.renew(context.Background())
 	last := top
 	for range 3 {
-		child := New(&passing{last}, func(bool) {})
+		child := New(&delegating{last}, func(bool) {})
 		child.renew(context.Background())
 		if !child.Fresh() || child.Config().Generation != 3 {
 			t.Fatal("no lease passed on")
@@ -86,17 +86,17 @@
 	}
 	past := boottime.Now().Add(-time.Millisecond)
 	top.validUntil.Store(&past)
-	if _, ok := top.PassOn(0); ok {
+	if _, ok := top.Delegate(0); ok {
 		t.Fatal("a lapsed lease was passed on")
 	}
 }
 
-// passing asks another holder, slowly both ways.
-type passing struct{ from *Holder }
+// delegating requests leases from another holder, with a delay both ways.
+type delegating struct{ from *Holder }
 
-func (p *passing) Lease(_ context.Context, generation uint64) (replica.Lease, error) {
+func (p *delegating) Lease(_ context.Context, generation uint64) (replica.Lease, error) {
 	time.Sleep(30 * time.Millisecond)
-	l, ok := p.from.PassOn(generation)
+	l, ok := p.from.Delegate(generation)
 	time.Sleep(30 * time.Millisecond)
 	if !ok {
 		return l, errors.New("no lease")
@@ -104,8 +104,8 @@
 	return l, nil
 }
 
-// A suspended machine's monotonic clock stands still. When it wakes up, its lease
-// must have run out by the clock of all others.
+// A suspended machine's monotonic clock stops. After it resumes, its lease must have
+// lapsed if it has by the clocks of the other machines.
 func TestLeaseLapsesWhileTheMachineIsSuspended(t *testing.T) {
 	h := New(&source{lease: full(1, 4)}, func(bool) {})
 	suspended := time.Duration(0)
@@ -116,12 +116,12 @@
 	}
 	suspended = 5 * time.Second
 	if h.Fresh() {
-		t.Error("the lease is fresh after five seconds of suspension")
+		t.Error("the lease is still fresh after five seconds of suspension")
 	}
-	if _, ok := h.PassOn(0); ok {
+	if _, ok := h.Delegate(0); ok {
 		t.Error("a lapsed lease was passed on")
 	}
 	if h.StaleFor() < 2*time.Second {
-		t.Errorf("stale for %v only", h.StaleFor())
+		t.Errorf("stale for %v, want at least 2s", h.StaleFor())
 	}
 }
--- a/daemon/replica/replica.go
+++ b/daemon/replica/replica.go
@@ -342,9 +342,8 @@
 	r.confirmed = pending
 }
 
-// handleLeadershipChange handles a change of leadership. It fails open proposals and reads when
-// leadership is lost, and proposes the initial operators when it is won; the state machine
-// ignores them unless its state is empty.
+// handleLeadershipChange fails open proposals and reads when leadership is lost, and
+// proposes the initial operators when it is won; the state machine accepts them only once.
 func (r *Replica) handleLeadershipChange() {
 	lead, term := r.node.Leading()
 	if lead == r.leading && (!lead || term == r.leadTerm) {
