--- a/daemon/placement/placement.go
+++ b/daemon/placement/placement.go
@@ -1,6 +1,7 @@
-// Package placement orders engines to load what the bundle names. One instance
-// at a time holds the order lease in the replicated log; its orders carry the
-// lease's fencing number and are recorded before they are sent.
+// Package placement orders engines to load the model versions and adapters of the
+// bundle in force. One instance at a time holds the order lease in the replicated
+// log; its orders carry the lease's fencing number and are recorded before they
+// are sent.
 package placement
 
 import (
@@ -29,21 +30,23 @@
 // Timing of the order lease.
 const (
 	period = 500 * time.Millisecond
-	// orderTimeout is the longest an order can be on its way.
+	// orderTimeout bounds the sending of an order.
 	orderTimeout = 3 * time.Second
-	// quiet is how long a new holder leaves engines alone that ignore fencing
-	// numbers: the former holder's validity is over by then, and so is every
-	// order that it had on its way.
-	quiet          = orderTimeout + time.Second
+	// unfencedDelay is how long a new holder sends no orders to engines that don't check fencing
+	// numbers: by then the previous holder's lease has expired and its last orders have
+	// timed out.
+	unfencedDelay  = orderTimeout + time.Second
 	proposeTimeout = 2 * time.Second
 	role           = "role/placement"
 )
 
-// leaseRules are the order lease's. A contender must have seen it unchanged for longer
-// than it is valid, by more than clocks drift apart in that time.
-var leaseRules = duty.Timing{Validity: 4 * time.Second, TakeOver: 6 * time.Second}
+// leaseTiming is the timing of the order lease. A claimant must have seen the lease
+// unchanged for longer than its validity, by a margin greater than the clock drift in
+// that time.
+var leaseTiming = duty.Timing{Validity: 4 * time.Second, TakeOver: 6 * time.Second}
 
-// Service is a suture service.
+// Service gives orders to engines while this instance holds the order lease. It
+// implements suture.Service.
 type Service struct {
 	Owner    string
 	Gossip   *gossip.Service
@@ -52,9 +55,10 @@
 	// Servers lists all backend servers.
 	Servers func(context.Context) []api.ServerEntry
 
-	contender *duty.Claimant
-	// looked: the lease has been read; before that it looks as if nobody ever had it.
-	looked    bool
+	claimant *duty.Claimant
+	// leaseRead: the lease has been read. Before that it appears to have no holder and must
+	// not be claimed.
+	leaseRead bool
 	heldSince time.Time
 	planner   *placement.Planner
 }
@@ -62,19 +66,20 @@
 // String names the service in the supervisor's log.
 func (s *Service) String() string { return "engine orders" }
 
-// Serve holds the lease while this instance has the role, and gives orders.
+// Serve renews the lease while this instance has the role, and gives orders, until the
+// context ends.
 func (s *Service) Serve(ctx context.Context) error {
-	s.contender = duty.NewClaimant(s.Owner, leaseRules, boottime.Now(), rand.Float64)
+	s.claimant = duty.NewClaimant(s.Owner, leaseTiming, boottime.Now(), rand.Float64)
 	return loop.Every(ctx, period, func(time.Time) {
-		if s.wanted() && s.hold(ctx) {
-			s.give(ctx)
+		if s.isResponsible() && s.holdLease(ctx) {
+			s.sendOrders(ctx)
 		}
 	})
 }
 
-// wanted reports whether there is anything to order and this instance is the
-// one to do it.
-func (s *Service) wanted() bool {
+// isResponsible reports whether the bundle names engine versions and this instance has the
+// placement role.
+func (s *Service) isResponsible() bool {
 	b := s.Holder.Config().Bundle
 	if b == nil || !s.Holder.Fresh() || s.Gossip.Draining() {
 		return false
@@ -86,30 +91,31 @@
 	return managed && s.Gossip.Holds(role)
 }
 
-// hold renews the lease, or takes it over when it has been still long enough.
-func (s *Service) hold(ctx context.Context) bool {
+// holdLease renews the lease, or takes it over when it has been unchanged for long enough.
+// It reports whether this instance holds the lease.
+func (s *Service) holdLease(ctx context.Context) bool {
 	sent := boottime.Now()
-	before := s.contender.LastLease()
-	cmd := state.LeaseCommand{} // only looks
-	if claim, ok := s.contender.Claim(sent); ok && s.looked {
+	before := s.claimant.LastLease()
+	cmd := state.LeaseCommand{} // only reads the lease
+	if claim, ok := s.claimant.Claim(sent); ok && s.leaseRead {
 		cmd = state.LeaseCommand{Owner: claim.Holder, Expected: claim.Expected}
 	}
 	res, err := s.propose(ctx, &state.Command{Type: state.CommandOrderLease, Lease: &cmd})
 	if err != nil || res.Lease == nil {
-		return s.contender.Holds(boottime.Now())
+		return s.claimant.Holds(boottime.Now())
 	}
-	s.looked = true
+	s.leaseRead = true
 	now := boottime.Now()
-	s.contender.Observe(now, *res.Lease)
+	s.claimant.Observe(now, *res.Lease)
 	if res.Lease.Holder == s.Owner && before.Holder != s.Owner {
 		s.heldSince = now
 		s.planner = placement.NewPlanner()
 		log.WithFields(log.Fields{"step": "engine orders", "fence": res.Lease.Term}).Info("order lease taken")
 	}
 	if res.Code == state.CodeOK && cmd.Owner != "" {
-		s.contender.Granted(now, sent, *res.Lease)
+		s.claimant.Granted(now, sent, *res.Lease)
 	}
-	return s.contender.Holds(now)
+	return s.claimant.Holds(now)
 }
 
 func (s *Service) propose(ctx context.Context, c *state.Command) (state.Result, error) {
@@ -118,7 +124,8 @@
 	return s.Replicas.Propose(ctx, c)
 }
 
-func (s *Service) give(ctx context.Context) {
+// sendOrders sends the orders that are due to engines.
+func (s *Service) sendOrders(ctx context.Context) {
 	b := s.Holder.Config().Bundle
 	var engines []placement.Engine
 	addresses := map[string]string{}
@@ -127,24 +134,24 @@
 		addresses[x.ID] = x.Address
 	}
 	for _, o := range s.planner.Next(time.Now(), b, engines) {
-		if !b.Pools[o.Pool].ChecksFencing && boottime.Now().Sub(s.heldSince) < quiet {
+		if !b.Pools[o.Pool].ChecksFencing && boottime.Now().Sub(s.heldSince) < unfencedDelay {
 			continue
 		}
-		o.Fence = s.contender.LastLease().Term
-		if err := s.order(ctx, &o, addresses[o.Server]); err != nil {
-			log.WithError(err).WithFields(log.Fields{"step": "order engine", "peer": o.Server, "fence": o.Fence}).Warn("will be tried again")
+		o.Fence = s.claimant.LastLease().Term
+		if err := s.sendOrder(ctx, &o, addresses[o.Server]); err != nil {
+			log.WithError(err).WithFields(log.Fields{"step": "order engine", "peer": o.Server, "fence": o.Fence}).Warn("order failed; will be retried")
 		}
 	}
 }
 
-// order records an order and sends it, unless the lease has run out meanwhile.
-func (s *Service) order(ctx context.Context, o *state.EngineOrder, address string) error {
+// sendOrder records an order and sends it, unless the lease has expired in the meantime.
+func (s *Service) sendOrder(ctx context.Context, o *state.EngineOrder, address string) error {
 	res, err := s.propose(ctx, &state.Command{Type: state.CommandEngineOrder, Engine: o})
 	if err != nil {
 		return eris.Wrap(err, "record order")
 	}
 	if res.Code == state.CodeRefused {
-		return nil // the weight store's rate; next round
+		return nil // limited by the weight store's rate; retried in the next round
 	}
 	if res.Code != state.CodeOK {
 		return eris.Errorf("record order: %s %s", res.Code, res.Message)
@@ -160,8 +167,8 @@
 		return err
 	}
 	req.GetBody = nil
-	if !s.contender.Holds(boottime.Now()) {
-		return eris.New("the order lease has run out")
+	if !s.claimant.Holds(boottime.Now()) {
+		return eris.New("the order lease has expired")
 	}
 	resp, err := httpc.DoRequest(req)
 	if err != nil {
