--- a/daemon/gossip/gossip.go
+++ b/daemon/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip runs the membership protocol of an instance over frames and
-// answers who is alive and who should do what.
+// Package gossip runs the membership protocol of an instance over frames. It lists
+// the live instances and ranks them for roles.
 package gossip
 
 import (
@@ -22,7 +22,8 @@
 	tickPeriod = 50 * time.Millisecond
 )
 
-// Service keeps an instance's view of the others. It is a suture service.
+// Service maintains an instance's view of the other instances. It implements
+// suture.Service.
 type Service struct {
 	transport *frame.Transport
 	mu        sync.Mutex
@@ -34,20 +35,20 @@
 	view      atomic.Pointer[view]
 }
 
-// view is what readers use: the instances, and rankings of them as far as they
-// were asked for.
+// view is a snapshot for readers: the instances, and a cache of their rankings by
+// key.
 type view struct {
 	instances []membership.Instance
-	// entries are those that take calls.
-	entries []membership.Instance
-	mu      sync.Mutex
-	ranks   map[string][]membership.Instance
+	// entries are the instances that accept calls.
+	entries  []membership.Instance
+	mu       sync.Mutex
+	rankings map[string][]membership.Instance
 }
 
-// maxRanks bounds the rankings kept per view.
-const maxRanks = 4096
+// maxCachedRankings bounds the cached rankings per view.
+const maxCachedRankings = 4096
 
-// New registers the frame handler.
+// New returns a Service, initially isolated, and registers its frame handler.
 func New(t *frame.Transport, self membership.Instance, seeds []string) *Service {
 	s := &Service{transport: t, self: self, isolated: true}
 	self.Isolated = true
@@ -60,7 +61,7 @@
 // String names the service in the supervisor's log.
 func (s *Service) String() string { return "membership" }
 
-// Serve probes until the context ends.
+// Serve runs the protocol's probes until the context ends.
 func (s *Service) Serve(ctx context.Context) error {
 	return loop.Every(ctx, tickPeriod, func(time.Time) {
 		s.mu.Lock()
@@ -84,23 +85,23 @@
 	s.send(out)
 }
 
-// send loses messages to unreachable peers; the protocol expects that.
+// send ignores errors: the protocol tolerates the loss of messages.
 func (s *Service) send(list []membership.Outgoing) {
 	for _, o := range list {
 		_ = s.transport.Send(o.To, method, &o.Message)
 	}
 }
 
-// publish refreshes the copy that readers use.
+// publish replaces the readers' view if the membership has changed. The caller holds s.mu.
 func (s *Service) publish() {
 	if v := s.table.Version(); v != s.version || s.view.Load() == nil {
 		s.version = v
 		instances := s.table.Instances()
-		s.view.Store(&view{instances: instances, entries: entries(instances), ranks: map[string][]membership.Instance{}})
+		s.view.Store(&view{instances: instances, entries: entries(instances), rankings: map[string][]membership.Instance{}})
 	}
 }
 
-// entries lists the instances that take calls.
+// entries returns the instances that accept calls.
 func entries(list []membership.Instance) []membership.Instance {
 	var out []membership.Instance
 	for _, i := range list {
@@ -111,20 +112,23 @@
 	return out
 }
 
-// Instances lists the instances believed alive, sorted by name. Read only.
+// Instances lists the instances believed alive, sorted by name. Callers must not change
+// it.
 func (s *Service) Instances() []membership.Instance { return s.view.Load().instances }
 
-// Entries lists the instances that take calls, sorted by name. Read only: it is made
-// once for each change, since every call asks how many there are.
+// Entries lists the instances that accept calls, sorted by name. Callers must not change
+// it. It is computed once per membership change, since each call needs the number of
+// entries.
 func (s *Service) Entries() []membership.Instance { return s.view.Load().entries }
 
 // Self returns this instance.
 func (s *Service) Self() membership.Instance { return s.self }
 
-// SetDraining spreads that this instance takes no new work.
+// SetDraining announces to the other instances that this one accepts no new work.
 func (s *Service) SetDraining() { s.setFlags(func() { s.draining = true }) }
 
-// SetIsolated spreads whether this instance lacks a configuration lease.
+// SetIsolated announces to the other instances whether this one lacks a configuration
+// lease.
 func (s *Service) SetIsolated(v bool) { s.setFlags(func() { s.isolated = v }) }
 
 func (s *Service) setFlags(change func()) {
@@ -142,36 +146,36 @@
 	return s.draining
 }
 
-// Rank orders the instances that may take a role for a key. Draining and
-// isolated ones come only when there is no other. Read only.
+// Rank orders the instances by preference for a key. Draining and isolated ones come
+// last. Callers must not change the result.
 func (s *Service) Rank(key string) []membership.Instance {
 	v := s.view.Load()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if r, ok := v.ranks[key]; ok {
+	if r, ok := v.rankings[key]; ok {
 		return r
 	}
 	r := rank(key, v.instances)
-	if len(v.ranks) < maxRanks {
-		v.ranks[key] = r
+	if len(v.rankings) < maxCachedRankings {
+		v.rankings[key] = r
 	}
 	return r
 }
 
-// Holds reports whether this instance comes first for a role.
+// Holds reports whether this instance ranks first for a role.
 func (s *Service) Holds(role string) bool {
 	ranked := s.Rank(role)
 	return len(ranked) > 0 && ranked[0].Name == s.self.Name
 }
 
 func rank(key string, instances []membership.Instance) []membership.Instance {
-	var good, rest []membership.Instance
+	var preferred, rest []membership.Instance
 	for _, i := range instances {
 		if i.Draining || i.Isolated {
 			rest = append(rest, i)
 			continue
 		}
-		good = append(good, i)
+		preferred = append(preferred, i)
 	}
-	return append(membership.Rank(key, good), membership.Rank(key, rest)...)
+	return append(membership.Rank(key, preferred), membership.Rank(key, rest)...)
 }
