--- a/daemon/control/assignment.go
+++ b/daemon/control/assignment.go
@@ -44,9 +44,9 @@
 
 // replicaFor returns the peer address of the replica that ranks first for the server.
 func replicaFor(serverID string, replicas []membership.Instance) string {
-	first := membership.TopTwo(serverID, replicas)
-	if len(first) == 0 {
+	ranked := membership.TopTwo(serverID, replicas)
+	if len(ranked) == 0 {
 		return ""
 	}
-	return first[0].PeerAddress
+	return ranked[0].PeerAddress
 }
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -80,7 +80,7 @@
 		instances: func() []membership.Instance { return nil }}
 	t.HandleRequest(methodAnnounce, s.handleAnnounce)
 	t.HandleRequest(methodHeartbeats, s.handleHeartbeats)
-	t.HandleRequest(methodNewest, s.handleNewest)
+	t.HandleRequest(methodNewestStart, s.handleNewestStart)
 	t.HandleRequest(methodWatch, s.handleWatch)
 	return s
 }
@@ -100,7 +100,7 @@
 	loops.Go(func() { _ = s.forwardHeartbeats(ctx) }) // ends with the context
 	return loop.Every(ctx, overdueCheckPeriod, func(now time.Time) {
 		v, _ := s.replica.View()
-		s.client.Directory().Learn(v.Members)
+		s.client.Directory().SetMembers(v.Members)
 		s.updateLiveReplicas(v.Members)
 		s.follow(v)
 		if !v.Leading {
@@ -128,7 +128,7 @@
 		timedOut := s.registry.TimedOut(now)
 		s.mu.Unlock()
 		for batch := range slices.Chunk(timedOut, maxServersPerWithdrawal) {
-			if err := s.departAll(ctx, batch); err != nil {
+			if err := s.departServers(ctx, batch); err != nil {
 				log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "depart silent servers", "servers": len(batch)}).Warn("will be retried")
 				return
 			}
@@ -136,8 +136,8 @@
 	})
 }
 
-// departAll withdraws servers with a single log entry.
-func (s *Service) departAll(ctx context.Context, ids []string) error {
+// departServers withdraws servers with a single log entry.
+func (s *Service) departServers(ctx context.Context, ids []string) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	c := &state.Command{Type: state.CommandWithdraw}
@@ -277,27 +277,27 @@
 	if v, _ := s.replica.View(); slices.ContainsFunc(v.Routing.Servers, func(x fleet.Server) bool { return x.ID == name }) {
 		return name, nil
 	}
-	reply, err := replica.CallLeader[newestReply](ctx, s.client, methodNewest, name)
+	reply, err := replica.CallLeader[newestStartReply](ctx, s.client, methodNewestStart, name)
 	return reply.ID, err
 }
 
-func (s *Service) handleNewest(_ context.Context, _ string, body []byte) (any, error) {
+func (s *Service) handleNewestStart(_ context.Context, _ string, body []byte) (any, error) {
 	var name string
 	if err := wire.Decode(body, &name); err != nil {
 		return nil, eris.Wrap(err, "decode name of server")
 	}
 	v, _ := s.replica.View()
 	if !v.Leading {
-		return newestReply{Redirect: replica.NotLeaderReply(v)}, nil
+		return newestStartReply{Redirect: replica.NotLeaderReply(v)}, nil
 	}
 	s.follow(v)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return newestReply{ID: s.registry.NewestID(name)}, nil
+	return newestStartReply{ID: s.registry.NewestID(name)}, nil
 }
 
 func (s *Service) withdraw(ctx context.Context, w fleet.Withdrawal, server *fleet.Server) error {
-	if v, _ := s.replica.View(); !withdrawn(v.Routing, w) {
+	if v, _ := s.replica.View(); !isWithdrawn(v.Routing, w) {
 		if _, err := s.client.Propose(ctx, &state.Command{Type: state.CommandWithdraw, Withdraw: &w}); err != nil {
 			return err
 		}
@@ -309,7 +309,7 @@
 	return s.announceToLeader(ctx, *server)
 }
 
-func withdrawn(r state.Routing, w fleet.Withdrawal) bool {
+func isWithdrawn(r state.Routing, w fleet.Withdrawal) bool {
 	for _, x := range r.Withdrawals {
 		if x.ServerID == w.ServerID {
 			return x.Phase >= w.Phase
--- a/daemon/control/foreign_test.go
+++ b/daemon/control/foreign_test.go
@@ -14,7 +14,7 @@
 	lines := 0
 	for i := range 10 * maxForeignSources {
 		for range 3 {
-			if _, first := f.record(now, fmt.Sprint("10.0.0.", i)); first {
+			if _, toLog := f.record(now, fmt.Sprint("10.0.0.", i)); toLog {
 				lines++
 			}
 		}
@@ -25,7 +25,7 @@
 	if f.total != 30*maxForeignSources {
 		t.Errorf("counted %d announcements, want %d", f.total, 30*maxForeignSources)
 	}
-	if _, first := f.record(now.Add(foreignLogInterval), "10.0.0.1"); !first {
+	if _, toLog := f.record(now.Add(foreignLogInterval), "10.0.0.1"); !toLog {
 		t.Error("a source that continues is not logged again after the interval")
 	}
 }
--- a/daemon/control/watch.go
+++ b/daemon/control/watch.go
@@ -132,7 +132,7 @@
 			continue
 		}
 		answered = true
-		w.client.Directory().Learn(r.reply.Members)
+		w.client.Directory().SetMembers(r.reply.Members)
 		if r.reply.InForce > 0 && w.fetch(ctx, r.address) {
 			return true
 		}
@@ -193,7 +193,7 @@
 }
 
 func (w *Watch) apply(reply *watchReply) {
-	w.client.Directory().Learn(reply.Members)
+	w.client.Directory().SetMembers(reply.Members)
 	if len(reply.QuarantineDecisions) > 0 {
 		w.onDecisions(reply.QuarantineDecisions) // before the first call is accepted
 	}
--- a/daemon/control/watchreply.go
+++ b/daemon/control/watchreply.go
@@ -28,9 +28,9 @@
 
 // batchDelayFor returns the delay for one of the given number of watchers. It exceeds the
 // rest of the watcher's hold by minBatchDelay at most.
-func batchDelayFor(watching int, holdLeft time.Duration) time.Duration {
+func batchDelayFor(watchers int, holdLeft time.Duration) time.Duration {
 	limit := min(maxBatchDelay, holdLeft)
-	return max(minBatchDelay, min(limit, time.Duration(watching)*batchDelayPerWatcher))
+	return max(minBatchDelay, min(limit, time.Duration(watchers)*batchDelayPerWatcher))
 }
 
 // handleWatch answers a watch request once there are changes or its hold is over. The
--- a/daemon/control/watchreply_test.go
+++ b/daemon/control/watchreply_test.go
@@ -17,12 +17,12 @@
 // distribute a change well within 2 s.
 func TestBatchDelayGrowsWithWatchers(t *testing.T) {
 	const answer = 100 * time.Microsecond
-	for _, watching := range []int{1, 10, 42, 50, 376} {
-		delay := batchDelayFor(watching, watchHold)
-		share := float64(watching) * float64(answer) / float64(delay)
-		t.Logf("%d: %v, %.3f of a core", watching, delay, share)
-		if delay > maxBatchDelay || watching <= 50 && share > 0.02 {
-			t.Errorf("%d watchers take %.3f of a core with a delay of %v", watching, share, delay)
+	for _, watchers := range []int{1, 10, 42, 50, 376} {
+		delay := batchDelayFor(watchers, watchHold)
+		share := float64(watchers) * float64(answer) / float64(delay)
+		t.Logf("%d: %v, %.3f of a core", watchers, delay, share)
+		if delay > maxBatchDelay || watchers <= 50 && share > 0.02 {
+			t.Errorf("%d watchers take %.3f of a core with a delay of %v", watchers, share, delay)
 		}
 	}
 }
--- a/daemon/control/wire.go
+++ b/daemon/control/wire.go
@@ -12,18 +12,18 @@
 
 // Frame methods of this package.
 const (
-	methodAnnounce   = "control.announce"
-	methodHeartbeats = "control.alive"
-	methodNewest     = "control.newest"
-	methodWatch      = "control.watch"
+	methodAnnounce    = "control.announce"
+	methodHeartbeats  = "control.alive"
+	methodNewestStart = "control.newest"
+	methodWatch       = "control.watch"
 )
 
 type announceReply struct {
 	replica.Redirect `msgpack:",inline"`
 }
 
-// newestReply holds the ID of a server's newest start.
-type newestReply struct {
+// newestStartReply holds the ID of a server's newest start.
+type newestStartReply struct {
 	replica.Redirect `msgpack:",inline"`
 	ID               string `msgpack:"i"`
 }
--- a/daemon/placement/placement.go
+++ b/daemon/placement/placement.go
@@ -29,7 +29,7 @@
 
 // Timing of the order lease.
 const (
-	period = 500 * time.Millisecond
+	orderPeriod = 500 * time.Millisecond
 	// orderTimeout bounds the sending of an order.
 	orderTimeout = 3 * time.Second
 	// unfencedDelay is how long a new holder sends no orders to engines that don't check fencing
@@ -70,7 +70,7 @@
 // context ends.
 func (s *Service) Serve(ctx context.Context) error {
 	s.claimant = duty.NewClaimant(s.Owner, leaseTiming, boottime.Now(), rand.Float64)
-	return loop.Every(ctx, period, func(time.Time) {
+	return loop.Every(ctx, orderPeriod, func(time.Time) {
 		if s.isResponsible() && s.holdLease(ctx) {
 			s.sendOrders(ctx)
 		}
--- a/daemon/replica/directory.go
+++ b/daemon/replica/directory.go
@@ -11,7 +11,7 @@
 type Directory struct {
 	mu      sync.Mutex
 	seeds   []string
-	learned []string
+	members []string
 	// open: any authenticated instance with a data folder may join the group, and members
 	// are replaced automatically.
 	open bool
@@ -39,24 +39,24 @@
 	d.seeds = seeds
 }
 
-// Learn sets the group's members as reported by a replica; an empty list is ignored.
-func (d *Directory) Learn(members []string) {
+// SetMembers sets the group's members as reported by a replica; an empty list is ignored.
+func (d *Directory) SetMembers(members []string) {
 	if len(members) == 0 {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.learned = members
+	d.members = members
 }
 
-// Addresses returns the known addresses: the learned members and the seeds.
+// Addresses returns the known addresses: the members and the seeds.
 func (d *Directory) Addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.open {
 		return d.seeds
 	}
-	out := slices.Clone(d.learned)
+	out := slices.Clone(d.members)
 	for _, s := range d.seeds {
 		if !slices.Contains(out, s) {
 			out = append(out, s)
--- a/daemon/replica/group.go
+++ b/daemon/replica/group.go
@@ -46,7 +46,7 @@
 		member bool
 	}
 	ch := make(chan answer, 1)
-	r.do(func() {
+	r.enqueue(func() {
 		id := r.store.Identity()
 		_, ok := r.node.Status().Membership.Find(id.ID)
 		ch <- answer{replicaIdentity{id.ID, id.Group}, ok}
@@ -124,7 +124,7 @@
 // joinGroup initializes the consensus state of a replica without a group: with the
 // initial members at index 1, or empty, to be filled by the leader.
 func (r *Replica) joinGroup(group uint64, initial raft.Membership) {
-	r.do(func() {
+	r.enqueue(func() {
 		if r.store.Identity().Group != 0 {
 			return
 		}
--- a/daemon/replica/reopen.go
+++ b/daemon/replica/reopen.go
@@ -54,7 +54,7 @@
 	}
 	r.store = store
 	r.machine = state.New()
-	r.leading, r.incoming = false, map[uint64][]byte{}
+	r.leading, r.incomingSnapshots = false, map[uint64][]byte{}
 	return r.restore(loaded)
 }
 
@@ -64,8 +64,8 @@
 		delete(r.reads, context)
 		done(errRetry)
 	}
-	for _, d := range r.confirmed {
-		d.done(errRetry)
+	for _, read := range r.confirmed {
+		read.done(errRetry)
 	}
 	r.confirmed = nil
 }
--- a/daemon/replica/replica.go
+++ b/daemon/replica/replica.go
@@ -64,21 +64,21 @@
 	inbox   chan func()
 	stopped chan struct{}
 	// The following fields, up to leaderless, are accessed by the run loop only.
-	store        *storage.Store
-	node         *raft.Node
-	machine      *state.Machine
-	audit        *auditFile
-	applied      uint64
-	snapshotAt   uint64
-	proposals    map[uint64]proposal
-	reads        map[uint64]func(error)
-	batchedReads []func(error)
-	confirmed    []confirmedRead
-	readSeq      uint64
-	leading      bool
-	leadTerm     uint64
-	incoming     map[uint64][]byte
-	sending      map[uint64]bool
+	store             *storage.Store
+	node              *raft.Node
+	machine           *state.Machine
+	audit             *auditFile
+	applied           uint64
+	snapshotAt        uint64
+	proposals         map[uint64]proposal
+	reads             map[uint64]func(error)
+	batchedReads      []func(error)
+	confirmed         []confirmedRead
+	lastReadID        uint64
+	leading           bool
+	leadTerm          uint64
+	incomingSnapshots map[uint64][]byte
+	sendingTo         map[uint64]bool
 	// senderAddress holds the peer addresses of message senders: a replica that has no
 	// membership yet replies to them.
 	senderAddress map[uint64]string
@@ -89,7 +89,7 @@
 	leaderKnownAt time.Time
 
 	// leaderless: no leader has been known for leaderlessAfter. A replica that was
-	// removed from the group while it was cut off finds out only by a request to join.
+	// removed from the group while it was cut off notices only when it requests to join.
 	leaderless atomic.Bool
 	views      *viewHolder
 	// duties is the state of duties in the log. It is not part of the view, since it
@@ -97,6 +97,8 @@
 	duties atomic.Pointer[state.Duties]
 }
 
+// proposal is an open proposal; done receives errRetry if an entry of another
+// term takes its index.
 type proposal struct {
 	term uint64
 	done func(state.Result, error)
@@ -118,7 +120,7 @@
 		log.WithField("bytes", loaded.TornBytes).WithField("step", "open storage").Warn("truncated an incomplete record at the end of the log")
 	}
 	r := &Replica{opt: opt, inbox: make(chan func(), inboxLength), stopped: make(chan struct{}), store: store, machine: state.New(),
-		proposals: map[uint64]proposal{}, reads: map[uint64]func(error){}, incoming: map[uint64][]byte{}, sending: map[uint64]bool{},
+		proposals: map[uint64]proposal{}, reads: map[uint64]func(error){}, incomingSnapshots: map[uint64][]byte{}, sendingTo: map[uint64]bool{},
 		senderAddress: map[uint64]string{}, lastMessage: map[uint64]time.Time{}, views: newViewHolder()}
 	if err := r.restore(loaded); err != nil {
 		return nil, err
@@ -297,16 +299,16 @@
 		if e.Type == raft.EntryCommand {
 			res = r.machine.Apply(e.Data)
 		}
-		w, ok := r.proposals[e.Index]
+		p, ok := r.proposals[e.Index]
 		if !ok {
 			continue
 		}
 		delete(r.proposals, e.Index)
-		if w.term != e.Term {
-			w.done(state.Result{}, errRetry)
+		if p.term != e.Term {
+			p.done(state.Result{}, errRetry)
 			continue
 		}
-		w.done(res, nil)
+		p.done(res, nil)
 	}
 	if len(entries) > 0 {
 		r.audit.append(r.machine.Audit(r.audit.last))
@@ -332,12 +334,12 @@
 
 func (r *Replica) releaseReads() {
 	pending := r.confirmed[:0]
-	for _, d := range r.confirmed {
-		if d.index > r.applied {
-			pending = append(pending, d)
+	for _, read := range r.confirmed {
+		if read.index > r.applied {
+			pending = append(pending, read)
 			continue
 		}
-		d.done(nil)
+		read.done(nil)
 	}
 	r.confirmed = pending
 }
@@ -362,14 +364,14 @@
 
 func (r *Replica) failProposals() {
 	r.startReads()
-	for i, w := range r.proposals {
+	for i, p := range r.proposals {
 		delete(r.proposals, i)
-		w.done(state.Result{}, errRetry)
+		p.done(state.Result{}, errRetry)
 	}
 }
 
-// do runs f in the run loop; it returns false if the replica has stopped.
-func (r *Replica) do(f func()) bool {
+// enqueue schedules f for the run loop; it returns false if the replica has stopped.
+func (r *Replica) enqueue(f func()) bool {
 	select {
 	case r.inbox <- f:
 		return true
@@ -403,10 +405,10 @@
 	list := r.batchedReads
 	r.batchedReads = nil
 	for _, done := range list {
-		r.readSeq++
-		r.reads[r.readSeq] = done
-		if err := r.node.ReadIndex(r.readSeq); err != nil {
-			delete(r.reads, r.readSeq)
+		r.lastReadID++
+		r.reads[r.lastReadID] = done
+		if err := r.node.ReadIndex(r.lastReadID); err != nil {
+			delete(r.reads, r.lastReadID)
 			done(err)
 		}
 	}
@@ -442,7 +444,7 @@
 		log.WithError(err).WithField("step", "decode raft message").Warn("message dropped")
 		return
 	}
-	r.do(func() {
+	r.enqueue(func() {
 		if env.Group != r.store.Identity().Group || env.Group == 0 {
 			return
 		}
--- a/daemon/replica/serve.go
+++ b/daemon/replica/serve.go
@@ -11,10 +11,10 @@
 	"cardamomwick.example/core/wire"
 )
 
-// run executes f in the run loop and waits for the value passed to reply.
-func run[T any](ctx context.Context, r *Replica, f func(reply func(T))) (any, error) {
+// execute runs f in the run loop and waits for the value passed to reply.
+func execute[T any](ctx context.Context, r *Replica, f func(reply func(T))) (any, error) {
 	ch := make(chan T, 1)
-	if !r.do(func() { f(func(v T) { ch <- v }) }) {
+	if !r.enqueue(func() { f(func(v T) { ch <- v }) }) {
 		return nil, errRetry
 	}
 	select {
@@ -27,13 +27,13 @@
 	}
 }
 
-// readThen performs a linearizable read: it returns value(), or refused() on a replica that
-// is not the leader.
-func readThen[T any](ctx context.Context, r *Replica, refused func(redirect) T, value func() T) (any, error) {
-	return run(ctx, r, func(reply func(T)) {
+// linearizableRead performs a linearizable read: it returns value(), or notLeader() on a
+// replica that is not the leader.
+func linearizableRead[T any](ctx context.Context, r *Replica, notLeader func(redirect) T, value func() T) (any, error) {
+	return execute(ctx, r, func(reply func(T)) {
 		r.read(func(err error) {
 			if err != nil {
-				reply(refused(r.leaderHint(err)))
+				reply(notLeader(r.leaderHint(err)))
 				return
 			}
 			reply(value())
@@ -46,7 +46,7 @@
 }
 
 func (r *Replica) handleHello(ctx context.Context, _ string, _ []byte) (any, error) {
-	return run(ctx, r, func(reply func(helloReply)) {
+	return execute(ctx, r, func(reply func(helloReply)) {
 		reply(helloReply{r.store.Identity().ID, r.store.Identity().Group})
 	})
 }
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "decode command")
 	}
-	return run(ctx, r, func(reply func(proposeReply)) {
+	return execute(ctx, r, func(reply func(proposeReply)) {
 		r.propose(c, func(res state.Result, err error) {
 			if err != nil {
 				reply(proposeReply{redirect: r.leaderHint(err)})
@@ -72,7 +72,7 @@
 	if err := decode(body, &req); err != nil {
 		return nil, err
 	}
-	return readThen(ctx, r,
+	return linearizableRead(ctx, r,
 		func(d redirect) leaseReply { return leaseReply{redirect: d} },
 		func() leaseReply {
 			return leaseReply{Lease: Lease{Group: r.store.Identity().Group, Update: r.machine.UpdateSince(req.Generation), Valid: LeaseLength}}
@@ -80,7 +80,7 @@
 }
 
 func (r *Replica) handleStatus(ctx context.Context, _ string, _ []byte) (any, error) {
-	return readThen(ctx, r,
+	return linearizableRead(ctx, r,
 		func(d redirect) statusReply { return statusReply{redirect: d} },
 		func() statusReply { return statusReply{Status: r.status()} })
 }
@@ -107,7 +107,7 @@
 	if err := decode(body, &req); err != nil {
 		return nil, err
 	}
-	return readThen(ctx, r,
+	return linearizableRead(ctx, r,
 		func(d redirect) auditReply { return auditReply{redirect: d} },
 		func() auditReply { return auditReply{Entries: r.audit.since(req.After, r.machine)} })
 }
@@ -121,7 +121,7 @@
 	for _, o := range req.Alive {
 		alive[o] = true
 	}
-	return readThen(ctx, r,
+	return linearizableRead(ctx, r,
 		func(d redirect) orphansReply { return orphansReply{redirect: d} },
 		func() orphansReply {
 			list := r.machine.Orphans(func(o string) bool { return alive[o] })
@@ -134,7 +134,7 @@
 	if err := decode(body, &key); err != nil {
 		return nil, err
 	}
-	return readThen(ctx, r,
+	return linearizableRead(ctx, r,
 		func(d redirect) callReply { return callReply{redirect: d} },
 		func() callReply {
 			rec, ok := r.machine.Call(key)
@@ -143,7 +143,7 @@
 }
 
 func (r *Replica) handleSource(ctx context.Context, _ string, _ []byte) (any, error) {
-	return readThen(ctx, r,
+	return linearizableRead(ctx, r,
 		func(d redirect) sourceReply { return sourceReply{redirect: d} },
 		func() sourceReply { return sourceReply{Source: r.machine.Routing().Declared.Source} })
 }
@@ -158,7 +158,7 @@
 	if req.Address != from || !r.opt.Directory.admits(req.Address) {
 		return nil, eris.Errorf("address %s may not join as a replica", req.Address)
 	}
-	return run(ctx, r, func(reply func(joinReply)) {
+	return execute(ctx, r, func(reply func(joinReply)) {
 		st := r.node.Status()
 		if st.Role != raft.Leader {
 			reply(joinReply{redirect: r.leaderHint(nil)})
--- a/daemon/replica/snapshots.go
+++ b/daemon/replica/snapshots.go
@@ -61,22 +61,22 @@
 // to the node when it is done.
 func (r *Replica) sendSnapshot(m raft.Message, members raft.Membership) {
 	member, ok := members.Find(m.To)
-	if !ok || r.sending[m.To] {
+	if !ok || r.sendingTo[m.To] {
 		return
 	}
 	// The current state is sent rather than the stored snapshot: it is newer and never
 	// older than the first entry of the log.
 	data := r.machine.Snapshot()
 	m.Snapshot = &raft.Snapshot{Meta: r.node.SnapshotMetaAt(r.applied)}
-	r.sending[m.To] = true
+	r.sendingTo[m.To] = true
 	group := r.store.Identity().Group
 	go func() {
 		err := r.streamSnapshot(member.Address, group, m, data)
 		if err != nil {
 			log.WithError(err).WithField("step", "send snapshot").WithField("peer", member.Address).Warn("snapshot not sent; will be retried")
 		}
-		r.do(func() {
-			delete(r.sending, m.To)
+		r.enqueue(func() {
+			delete(r.sendingTo, m.To)
 			r.node.ReportSnapshot(m.To)
 		})
 	}()
@@ -104,7 +104,7 @@
 	if c.Message.Snapshot == nil {
 		return nil, eris.New("snapshot chunk without a snapshot")
 	}
-	return run(ctx, r, func(reply func(bool)) {
+	return execute(ctx, r, func(reply func(bool)) {
 		reply(r.addChunk(&c))
 	})
 }
@@ -115,20 +115,20 @@
 	if c.Group != r.store.Identity().Group {
 		return false
 	}
-	received := r.incoming[c.Message.From]
+	received := r.incomingSnapshots[c.Message.From]
 	if c.Offset == 0 {
 		received = nil
 	}
 	if c.Offset != len(received) || len(received)+len(c.Data) > maxSnapshotBytes {
-		delete(r.incoming, c.Message.From)
+		delete(r.incomingSnapshots, c.Message.From)
 		return false
 	}
 	received = append(received, c.Data...)
 	if !c.Last {
-		r.incoming[c.Message.From] = received
+		r.incomingSnapshots[c.Message.From] = received
 		return true
 	}
-	delete(r.incoming, c.Message.From)
+	delete(r.incomingSnapshots, c.Message.From)
 	c.Message.Snapshot.Data = received
 	r.node.Step(c.Message)
 	return true
