--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -48,7 +48,7 @@
 	dispatcher *dispatcher.Service
 	scheduler  *scheduler.Scheduler
 	slots      entry.Slots
-	keeper     *quarantine.Keeper
+	keeper     *quarantine.Manager
 	entry      *entry.Entry
 	admin      *admin.Admin
 	placement  *placement.Service
@@ -88,7 +88,7 @@
 	if experiment {
 		d.slots = baseline.New(s.Experiment.Baseline, d.transport)
 	}
-	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Judges: d.gossip.Entries})
+	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Evaluators: d.gossip.Entries})
 	d.entry = entry.New(entry.Options{Settings: s, Holder: d.holder, Gossip: d.gossip, Scheduler: d.slots,
 		Replicas: d.replicas, Metrics: d.metrics, Quarantine: d.keeper, Owner: self.Owner(), SpreadAnnouncements: experiment, IgnoreTiers: experiment})
 	d.admin = &admin.Admin{Settings: s, Holder: d.holder, Gossip: d.gossip, Replicas: d.replicas, Transport: d.transport, Own: d.info}
@@ -198,8 +198,8 @@
 
 func (d *Daemon) registerGauges() {
 	d.metrics.Gauge("cardamomwick_generation", func() float64 { return float64(d.holder.Config().Generation) })
-	d.metrics.Gauge("cardamomwick_requests_held", func() float64 { return float64(d.keeper.Holding()) })
-	d.metrics.Gauge("cardamomwick_servers_ended_total", func() float64 { return float64(d.keeper.ServersEnded()) })
+	d.metrics.Gauge("cardamomwick_requests_held", func() float64 { return float64(d.keeper.HeldRequests()) })
+	d.metrics.Gauge("cardamomwick_servers_ended_total", func() float64 { return float64(d.keeper.Crashes()) })
 	d.metrics.Gauge("cardamomwick_lease_fresh", func() float64 {
 		if d.holder.Fresh() {
 			return 1
--- a/daemon/entry/attempt.go
+++ b/daemon/entry/attempt.go
@@ -54,7 +54,7 @@
 	// Attempts, repeats and rounds of recorded calls all come here: without this, one
 	// that ends its servers would end one after the other.
 	if left, held := x.e.keeper.Held(x.c.requestDigest); held {
-		return failed(giveUp(http.StatusServiceUnavailable, api.ErrorRequestQuarantined, quarantine.KeptBack, x.uncertain).after(left))
+		return failed(giveUp(http.StatusServiceUnavailable, api.ErrorRequestQuarantined, quarantine.HeldMessage, x.uncertain).after(left))
 	}
 	t := x.c.ticket()
 	t.Attempt = n
@@ -78,7 +78,7 @@
 		x.noteBroken(failure, run)
 		return x.failed(failure, grant.Server, n)
 	}
-	x.e.keeper.Succeeded(run, x.c.requestDigest())
+	x.e.keeper.RecordSuccess(run, x.c.requestDigest())
 	return rep
 }
 
@@ -86,7 +86,7 @@
 func (x *execution) noteBroken(f *backend.CallError, r quarantine.Run) {
 	if f.Failure == retry.FailureUncertain && f.Status == 0 && x.run.Err() == nil {
 		r.Reached = f.Reached
-		x.e.keeper.Broke(r, x.c.requestDigest())
+		x.e.keeper.RecordBroken(r, x.c.requestDigest())
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	x.exclude = append(x.exclude, server)
 	sleep(x.run, retry.Backoff(n+1, rand.Float64()))
-	x.e.keeper.AwaitRuling(x.run, x.c.requestDigest) // the end of the context ends the next attempt
+	x.e.keeper.AwaitDecision(x.run, x.c.requestDigest) // the end of the context ends the next attempt
 	return nil
 }
 
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -47,7 +47,7 @@
 	Replicas  *replica.Client
 	Metrics   *telemetry.Metrics
 	// Quarantine says which requests are kept from the servers.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Manager
 	// SpreadAnnouncements passes announcements to every instance, as the
 	// baselines need it.
 	SpreadAnnouncements bool
@@ -65,7 +65,7 @@
 	scheduler Slots
 	replicas  *replica.Client
 	metrics   *telemetry.Metrics
-	keeper    *quarantine.Keeper
+	keeper    *quarantine.Manager
 	owner     string
 	spreadAll bool
 	flatTiers bool
--- /dev/null
+++ b/daemon/quarantine/manager.go
@@ -0,0 +1,198 @@
+package quarantine
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cardamomwick.example/core/membership"
+	"cardamomwick.example/core/quarantine"
+	"cardamomwick.example/core/state"
+	"cardamomwick.example/daemon/frame"
+	"cardamomwick.example/daemon/loop"
+)
+
+// Methods of the frames between managers.
+const (
+	methodCrashReports = "quarantine.endings"
+	methodDecisions    = "quarantine.rulings"
+	methodSuccess      = "quarantine.success"
+)
+
+const (
+	// gossipPeriod is the time between two messages with known decisions, each to one
+	// random instance: an instance that was started or reconnected learns the decisions
+	// after a few of them. With eight decisions of 30 to 200 bytes this is at most 3 KB/s,
+	// and nothing while there are no decisions.
+	gossipPeriod = 500 * time.Millisecond
+	// persistTimeout bounds the commit of a decision. The group may have no leader for
+	// some seconds; the decision is in force meanwhile.
+	persistTimeout = 10 * time.Second
+)
+
+// HeldMessage is the error message for a request that is held.
+const HeldMessage = "kept from the servers: this request has ended several that ran it"
+
+// Options configures a Manager.
+type Options struct {
+	// Transport connects the manager with the other instances; nil for a single instance.
+	Transport *frame.Transport
+	// Instances returns all instances, this one included. Evaluators returns those that
+	// may evaluate crash reports: entries, which have more spare capacity than replicas.
+	Instances, Evaluators func() []membership.Instance
+	// Log stores holds so that they survive a restart of all instances; nil to store none.
+	Log Log
+}
+
+// Log is the replicated log; replica.Client implements it.
+type Log interface {
+	Propose(ctx context.Context, c *state.Command) (state.Result, error)
+}
+
+// Manager is one instance's part of the quarantine: it reports the server crashes seen at
+// this instance, evaluates the reports on the requests assigned to it, and knows all
+// decisions. It is a suture service. Safe for concurrent use.
+type Manager struct {
+	opt    Options
+	prober *prober
+	// decisions is the number of known decisions. While it is 0 no request is looked up.
+	decisions atomic.Int64
+	// crashes counts the servers that were found to have terminated during calls.
+	crashes atomic.Int64
+
+	mu        sync.Mutex
+	suspects  suspects
+	successes *quarantine.Successes
+	registry  *quarantine.Registry
+	evaluator *quarantine.Evaluator
+}
+
+// New returns a manager and registers its frame handlers.
+func New(o Options) *Manager {
+	r := quarantine.NewRegistry()
+	m := &Manager{opt: o, suspects: suspects{}, successes: quarantine.NewSuccesses(), registry: r, evaluator: quarantine.NewEvaluator(r)}
+	m.prober = newProber(m.reportTerminated)
+	if t := o.Transport; t != nil {
+		t.HandleOneWay(methodCrashReports, m.handleCrashReports)
+		t.HandleOneWay(methodDecisions, m.handleDecisions)
+		t.HandleOneWay(methodSuccess, m.handleSuccess)
+	}
+	return m
+}
+
+// String names the service in the supervisor's log.
+func (m *Manager) String() string { return "quarantine" }
+
+// Serve sends known decisions to other instances until the context ends.
+func (m *Manager) Serve(ctx context.Context) error {
+	return loop.Every(ctx, gossipPeriod, func(time.Time) { m.gossip(time.Now()) })
+}
+
+// HeldRequests returns the number of held requests.
+func (m *Manager) HeldRequests() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.registry.Held(time.Now())
+}
+
+// ProbeResults returns the number of probes of servers by result.
+func (m *Manager) ProbeResults() map[string]int64 {
+	out := map[string]int64{}
+	for r := range probeResults {
+		out[r.String()] = m.prober.results[r].Load()
+	}
+	return out
+}
+
+// Crashes returns the number of server crashes found at this instance.
+func (m *Manager) Crashes() int64 { return m.crashes.Load() }
+
+// Held reports whether a request is held, and for how much longer.
+func (m *Manager) Held(request func() quarantine.Digest) (time.Duration, bool) {
+	x, known := m.decision(request)
+	if !known || x.Status != quarantine.Held {
+		return 0, false
+	}
+	return x.Remaining(), true
+}
+
+// Timing of the wait for a decision.
+const (
+	// decisionTimeout covers the confirmation of the last crash, the transmission of its
+	// report and the evaluation. A request that is still suspected then proceeds: no
+	// server has crashed under it since.
+	decisionTimeout  = 300 * time.Millisecond
+	decisionInterval = 10 * time.Millisecond
+)
+
+// AwaitDecision waits while a request is suspected; call it before a retry. Otherwise a
+// request that crashes its servers would be retried while its evaluators still wait for
+// reports of successes. It returns false when the context has ended.
+func (m *Manager) AwaitDecision(ctx context.Context, request func() quarantine.Digest) bool {
+	for until := time.Now().Add(decisionTimeout); m.suspected(request) && time.Now().Before(until); {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(decisionInterval):
+		}
+	}
+	return ctx.Err() == nil
+}
+
+func (m *Manager) suspected(request func() quarantine.Digest) bool {
+	x, known := m.decision(request)
+	return known && x.Status == quarantine.Suspected
+}
+
+// decision returns the decision on a request. The digest is only computed while there are
+// decisions.
+func (m *Manager) decision(request func() quarantine.Digest) (quarantine.Decision, bool) {
+	if m.decisions.Load() == 0 {
+		return quarantine.Decision{}, false
+	}
+	d := request()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.registry.Decision(time.Now(), d)
+}
+
+// Run is one run of a request at a server.
+type Run struct {
+	// Server is the ID of a server's start, or of the server if KeepsID is set: it keeps
+	// its ID over restarts. Address is where it listens.
+	Server  string
+	KeepsID bool
+	Address string
+	Began   time.Time
+	// Reached reports that the server's process itself, and not only a proxy, was running
+	// when the run began.
+	Reached bool
+}
+
+// RecordSuccess records that a server has completed a run.
+func (m *Manager) RecordSuccess(r Run, request quarantine.Digest) {
+	m.mu.Lock()
+	m.suspects.recordResponse(time.Now(), r.Server, r.KeepsID)
+	m.successes.Record(request, r.Began)
+	x, known := m.registry.Decision(time.Now(), request)
+	m.mu.Unlock()
+	if known && x.Status != quarantine.Cleared {
+		m.reportSuccess(request)
+	}
+}
+
+// RecordBroken records that a run broke for a reason that lies neither with this instance
+// nor with the caller, and probes whether the server has terminated.
+func (m *Manager) RecordBroken(r Run, request quarantine.Digest) {
+	now := time.Now()
+	m.mu.Lock()
+	m.suspects.add(now, r.Server, brokenRun{request, r.KeepsID, r.Reached, r.Began, now})
+	terminated := m.suspects.terminatedSince(r.Server, r.Began)
+	m.mu.Unlock()
+	if terminated {
+		m.reportTerminated(r.Server, alreadyConfirmed)
+		return
+	}
+	m.prober.start(r.Server, r.Address)
+}
--- a/daemon/routed.go
+++ b/daemon/routed.go
@@ -71,7 +71,7 @@
 	directory *replica.Directory
 	watch     *control.Watch
 	control   *control.Service
-	keeper    *quarantine.Keeper
+	keeper    *quarantine.Manager
 	teller    *usage.Teller
 	orderer   *capacity.Orderer
 	runners   []*duties.Runner
@@ -96,7 +96,7 @@
 	d.gossip = gossip.New(d.transport, self, seeds)
 	d.directory = replica.NewSeedDirectory(seeds, s.Replicas.Bootstrap)
 	client := replica.NewClient(d.transport, d.directory)
-	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Judges: d.gossip.Entries, Log: client})
+	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Evaluators: d.gossip.Entries, Log: client})
 	d.services = append(d.services, d.keeper)
 	if settings.On(s.Usage.Record) {
 		d.addTeller(client)
@@ -169,7 +169,7 @@
 	// A client of its own: the one that finds the leader for other calls would lead the
 	// watch back to it.
 	d.watch = control.NewWatch(d.transport, replica.NewClient(d.transport, d.directory), d.takeTable, d.takeFleet)
-	d.watch.OnHolds(d.keeper.TakeRulings)
+	d.watch.OnHolds(d.keeper.MergeDecisions)
 	self := collect.Member{Name: d.settings.Instance.Name, Zone: d.settings.Instance.AvailabilityZone, Address: d.settings.Peers.Address}
 	exchange := router.NewExchange(d.router, d.transport, self, d.collectMembers)
 	if d.teller != nil {
--- a/daemon/router/call.go
+++ b/daemon/router/call.go
@@ -112,7 +112,7 @@
 			c.giveUp("attempts used up")
 			return
 		}
-		if v == failed && !(c.pause(ctx) && c.router.opt.Quarantine.AwaitRuling(ctx, c.digest)) {
+		if v == failed && !(c.pause(ctx) && c.router.opt.Quarantine.AwaitDecision(ctx, c.digest)) {
 			c.giveUp("time is over")
 			return
 		}
--- a/daemon/router/request.go
+++ b/daemon/router/request.go
@@ -65,12 +65,14 @@
 	if e.Sent && (startedAgain || ctx.Err() == nil && connectionBroke(e)) {
 		run := c.run(s)
 		run.Reached = e.Reached
-		c.router.opt.Quarantine.Broke(run, c.digest())
+		c.router.opt.Quarantine.RecordBroken(run, c.digest())
 	}
 }
 
 // noteSuccess tells the quarantine that a server has answered.
-func (c *call) noteSuccess(s fleet.Server) { c.router.opt.Quarantine.Succeeded(c.run(s), c.digest()) }
+func (c *call) noteSuccess(s fleet.Server) {
+	c.router.opt.Quarantine.RecordSuccess(c.run(s), c.digest())
+}
 
 // run is the call's last attempt.
 func (c *call) run(s fleet.Server) keeper.Run {
@@ -83,7 +85,7 @@
 	left, held := c.router.opt.Quarantine.Held(c.digest)
 	if held {
 		c.comeBack = left
-		c.giveUp(keeper.KeptBack)
+		c.giveUp(keeper.HeldMessage)
 	}
 	return held
 }
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -48,7 +48,7 @@
 	Usage Usage
 	// Quarantine says which requests are kept from the servers; New makes one of its
 	// own when it is nil.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Manager
 }
 
 // Usage counts the runs that servers begin.
@@ -136,7 +136,7 @@
 // endSuperseded ends the attempts at servers that have started again.
 func (r *Router) endSuperseded(before, now []fleet.Server) {
 	for _, s := range superseded(before, now) {
-		r.opt.Quarantine.Ended(s.ID)
+		r.opt.Quarantine.ReportReplaced(s.ID)
 		ended := r.attempts.endAt(s.ID)
 		log.WithFields(log.Fields{"step": "take fleet", "server": s.ID, "pool": s.Pool, "in_flight": ended}).Info("server has started again; what was believed of its former start ends")
 	}
