--- a/daemon/routed.go
+++ b/daemon/routed.go
@@ -72,7 +72,7 @@
 	watch     *control.Watch
 	control   *control.Service
 	keeper    *quarantine.Manager
-	teller    *usage.Teller
+	teller    *usage.Reporter
 	orderer   *capacity.Orderer
 	runners   []*duties.Runner
 	router    *router.Router
@@ -173,7 +173,7 @@
 	self := collect.Member{Name: d.settings.Instance.Name, Zone: d.settings.Instance.AvailabilityZone, Address: d.settings.Peers.Address}
 	exchange := router.NewExchange(d.router, d.transport, self, d.collectMembers)
 	if d.teller != nil {
-		d.teller.OnDemands(d.router.Demands)
+		d.teller.SetDemands(d.router.Demands)
 	}
 	d.services = append(d.services, d.watch, exchange)
 	if err := d.listen("callers' listener", d.settings.Callers.Address, d.router, idleTimeout); err != nil {
--- a/daemon/routed_duties.go
+++ b/daemon/routed_duties.go
@@ -18,8 +18,8 @@
 // addTeller counts runs, and keeps the agreed time of day.
 func (d *Routed) addTeller(client *replica.Client) {
 	s := d.settings
-	d.teller = usage.NewTeller(usage.TellerOptions{Client: client, Instance: s.Instance.Name, Process: d.gossip.Self().Owner(),
-		Window: s.Tuned().Usage.Window, Instances: d.instances, Counts: s.Callers.Address != ""})
+	d.teller = usage.NewReporter(usage.ReporterOptions{Client: client, Instance: s.Instance.Name, Process: d.gossip.Self().Owner(),
+		Window: s.Tuned().Usage.Window, Instances: d.instances, ObservesRuns: s.Callers.Address != ""})
 	d.services = append(d.services, d.teller)
 }
 
@@ -48,8 +48,8 @@
 		reports = to
 	}
 	tuned := s.Tuned()
-	d.addRunner(usage.DutyName, client, usage.NewReporter(usage.ReporterOptions{Window: tuned.Usage.Window, Within: tuned.Usage.Within,
-		Keep: tuned.Usage.Keep, Pause: callPause(tuned.Provider.CallsPerSecond), Tellers: d.tellers, Now: d.teller.Now, State: d.replica.Duties, Provider: reports}))
+	d.addRunner(usage.DutyName, client, usage.NewExporter(usage.ExporterOptions{Window: tuned.Usage.Window, Within: tuned.Usage.Within,
+		Keep: tuned.Usage.Keep, MinInterval: callPause(tuned.Provider.CallsPerSecond), Reporters: d.tellers, Now: d.teller.Now, State: d.replica.Duties, Provider: reports}))
 	if given.Servers && settings.On(s.Capacity.Order) {
 		d.addOrderer(to, client)
 	}
--- a/daemon/usage/collector.go
+++ b/daemon/usage/collector.go
@@ -20,43 +20,44 @@
 
 // Limits of a collector.
 const (
-	// gatherTime is how long reports gather, so that one entry of the log has all of them:
-	// ten entries a second whatever the number of instances.
-	gatherTime = 100 * time.Millisecond
-	// mostGathered bounds the reports that wait.
-	mostGathered = 2048
-	// commitTimeout bounds the commit of what has gathered.
+	// batchInterval is the time between two commits, each of which puts all pending reports
+	// into one log entry: ten entries a second for any number of instances.
+	batchInterval = 100 * time.Millisecond
+	// maxPending bounds the pending reports.
+	maxPending = 2048
+	// commitTimeout bounds the commit of a batch.
 	commitTimeout = time.Second
 )
 
-// errGathered: too many reports wait for the log.
-var errGathered = eris.New("too many reports wait")
+// errTooManyPending: too many reports wait for the log.
+var errTooManyPending = eris.New("too many reports wait")
 
-// Collector takes reports at the replica group's leader and brings them into the log. It
-// is a suture service.
+// Collector receives reports at the replica group's leader and commits them to the log in
+// batches. It is a suture service.
 type Collector struct {
 	view func() replica.View
 	log  duties.Log
-	// instances returns how many there are.
+	// instances returns the number of instances.
 	instances func() int
 
-	mu       sync.Mutex
-	gathered []usage.Report
-	waiting  []chan gathered
-	median   usage.ClockMedian
-	demands  capacity.Demands
+	mu      sync.Mutex
+	pending []usage.Report
+	waiting []chan commitResult
+	median  usage.ClockMedian
+	demands capacity.Demands
 }
 
-// gathered is what became of a report.
-type gathered struct {
+// commitResult is the result of a batch's commit.
+type commitResult struct {
+	// counted holds the number of the last counted report by reporter.
 	counted map[string]uint64
 	err     error
 }
 
-// NewCollector registers the frame handlers.
+// NewCollector returns a collector and registers its frame handlers.
 func NewCollector(t *frame.Transport, view func() replica.View, log duties.Log, instances func() int) *Collector {
 	c := &Collector{view: view, log: log, instances: instances}
-	t.HandleRequest(methodTell, c.handleTell)
+	t.HandleRequest(methodReport, c.handleReport)
 	t.HandleRequest(methodDemands, c.handleDemands)
 	return c
 }
@@ -64,13 +65,13 @@
 // String names the service in the supervisor's log.
 func (c *Collector) String() string { return "usage collector" }
 
-// Serve commits what has gathered, until the context ends.
+// Serve commits the pending reports periodically until the context ends.
 func (c *Collector) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(gatherTime):
+		case <-time.After(batchInterval):
 			c.commit(ctx)
 		}
 	}
@@ -78,8 +79,8 @@
 
 func (c *Collector) commit(ctx context.Context) {
 	c.mu.Lock()
-	reports, waiting := c.gathered, c.waiting
-	c.gathered, c.waiting = nil, nil
+	reports, waiting := c.pending, c.waiting
+	c.pending, c.waiting = nil, nil
 	c.mu.Unlock()
 	if len(reports) == 0 {
 		return
@@ -88,25 +89,25 @@
 	defer cancel()
 	res, err := c.log.Propose(ctx, &state.Command{Type: state.CommandUsage, Reports: reports})
 	if err != nil {
-		log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "count usage", "reports": len(reports)}).Warn("the instances tell it again")
+		log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "count usage", "reports": len(reports)}).Warn("not committed; the instances will send the reports again")
 	}
 	for _, w := range waiting {
-		w <- gathered{res.Counted, err}
+		w <- commitResult{res.Counted, err}
 	}
 }
 
-// handleTell takes what an instance tells, and answers once its report is in the log.
-func (c *Collector) handleTell(ctx context.Context, _ string, body []byte) (any, error) {
-	var req tellRequest
+// handleReport processes an instance's message and answers once its report is in the log.
+func (c *Collector) handleReport(ctx context.Context, _ string, body []byte) (any, error) {
+	var req reportRequest
 	if err := wire.Decode(body, &req); err != nil {
 		return nil, eris.Wrap(err, "decode usage report")
 	}
 	v := c.view()
 	if !v.Leading {
-		return tellReply{Redirect: replica.NotLeaderReply(v)}, nil
+		return reportReply{Redirect: replica.NotLeaderReply(v)}, nil
 	}
 	now := boottime.Now()
-	done, err := c.take(now, &req)
+	done, err := c.add(now, &req)
 	if err != nil {
 		return nil, err
 	}
@@ -122,12 +123,12 @@
 			return nil, ctx.Err()
 		}
 	}
-	return tellReply{Counted: counted, Agreed: c.agreed()}, nil
+	return reportReply{Counted: counted, Agreed: c.agreedTime()}, nil
 }
 
-// take notes the instance's clock and demand, and gathers its report; the channel is nil
-// without one.
-func (c *Collector) take(now time.Time, req *tellRequest) (<-chan gathered, error) {
+// add records the instance's clock and demand and queues its report. The channel delivers
+// the result; it is nil without a report.
+func (c *Collector) add(now time.Time, req *reportRequest) (<-chan commitResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.median.Record(now, req.Instance, time.Unix(0, req.TimeOfDay))
@@ -135,17 +136,17 @@
 	if req.Report == nil {
 		return nil, nil
 	}
-	if len(c.gathered) >= mostGathered {
-		return nil, errGathered
+	if len(c.pending) >= maxPending {
+		return nil, errTooManyPending
 	}
-	done := make(chan gathered, 1)
-	c.gathered = append(c.gathered, *req.Report)
+	done := make(chan commitResult, 1)
+	c.pending = append(c.pending, *req.Report)
 	c.waiting = append(c.waiting, done)
 	return done, nil
 }
 
-// agreed returns the agreed time of day in Unix nanoseconds, zero without one.
-func (c *Collector) agreed() int64 {
+// agreedTime returns the agreed time of day in Unix nanoseconds, zero without one.
+func (c *Collector) agreedTime() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := boottime.Now()
@@ -156,7 +157,7 @@
 	return now.Add(offset).UnixNano()
 }
 
-// methodDemands asks the leader for what entries tell of the demand.
+// methodDemands requests the demands reported by the entries from the leader.
 const methodDemands = "usage.demands"
 
 type demandsReply struct {
@@ -174,10 +175,10 @@
 	return demandsReply{Demands: c.demands.Fresh(boottime.Now())}, nil
 }
 
-// demandsTimeout bounds the question for the demand; it is asked again soon.
+// demandsTimeout bounds the request for the demands, which is repeated periodically.
 const demandsTimeout = 500 * time.Millisecond
 
-// Demands asks the leader for the demand for each pool.
+// Demands requests the demand for each pool from the leader.
 func Demands(ctx context.Context, client *replica.Client) ([]capacity.Demand, error) {
 	ctx, cancel := context.WithTimeout(ctx, demandsTimeout)
 	defer cancel()
--- a/daemon/usage/reporter.go
+++ b/daemon/usage/reporter.go
@@ -2,158 +2,176 @@
 
 import (
 	"context"
+	"sync"
 	"time"
 
 	"github.com/apex/log"
 	"github.com/rotisserie/eris"
 
-	"cardamomwick.example/core/state"
+	"cardamomwick.example/core/capacity"
 	"cardamomwick.example/core/usage"
-	"cardamomwick.example/daemon/duties"
-	"cardamomwick.example/daemon/provider"
+	"cardamomwick.example/daemon/boottime"
+	"cardamomwick.example/daemon/replica"
 )
 
-// DutyName is the duty of closing and reporting windows.
-const DutyName = "usage"
+// Timing of a reporter.
+const (
+	// windowShare is the report interval as a share of the window length. The runs counted
+	// since the last report are lost if the process is killed.
+	windowShare = 0.08
+	// minInterval and maxInterval bound the report interval.
+	minInterval = 400 * time.Millisecond
+	maxInterval = 10 * time.Second
+	// maxDemandInterval bounds the interval of reports with a demand, which is valid for
+	// 2.5 s.
+	maxDemandInterval = time.Second
+	// intervalPerInstance is the minimum interval per instance. It limits the leader to two
+	// hundred reports a second, which take about 2% of a processor.
+	intervalPerInstance = 5 * time.Millisecond
+	// reportTimeout bounds one report, including the commit.
+	reportTimeout = 1500 * time.Millisecond
+	// settleTime is the maximum delay from the start of a run until it is recorded: its
+	// first event passes two links and waits for this process to be scheduled.
+	settleTime = 150 * time.Millisecond
+	// finalReportTimeout bounds the final report of a stopping instance.
+	finalReportTimeout = 700 * time.Millisecond
+)
 
-// ReporterOptions sets up a Reporter.
+// ReporterOptions configures a Reporter.
 type ReporterOptions struct {
-	// Window is the length of the windows; Within is how long after its end a window must
-	// be taken; Keep is how long taken windows are kept.
-	Window, Within, Keep time.Duration
-	// Pause is the least time between two calls to the provider.
-	Pause time.Duration
-	// Tellers returns the processes that see runs.
-	Tellers func() []string
-	// Now is the agreed time of day.
-	Now   func() (time.Time, bool)
-	State func() state.Duties
-	// Provider has no address where nobody asks for usage: windows are then only recorded.
-	Provider provider.Client
+	Client *replica.Client
+	// Instance is the name of this instance, Process the name of its current start.
+	Instance, Process string
+	// Window is the length of the windows.
+	Window time.Duration
+	// Instances returns the number of instances.
+	Instances func() int
+	// ObservesRuns is set if this instance observes runs.
+	ObservesRuns bool
 }
 
-// Limits of a reporter.
-const (
-	// waitShare of Within is waited for the last reports of a window; the rest is for the
-	// report, also through a change of the holder.
-	waitShare = 0.55
-	// mostGap is how many windows in a row are reported although nothing ran in them.
-	mostGap = 12
-	// retryPause is the pause after a call that was not taken.
-	retryPause = 400 * time.Millisecond
-)
-
-// Reporter is the work of the usage duty: it closes windows in the log and reports them.
+// Reporter counts the runs that this instance observes, reports them to the leader, and
+// keeps the agreed time of day. It is a suture service; safe for concurrent use.
 type Reporter struct {
 	opt ReporterOptions
 
-	term uint64
-	// next is the window that is closed next, as far as this tenure knows.
-	next usage.Window
-	// notBefore is when the provider may be called again.
-	notBefore time.Time
-	reach     provider.Reach
+	mu    sync.Mutex
+	meter *usage.Meter
+	clock usage.Clock
+	// demands returns the demand for pools as far as this instance knows it.
+	demands func() []capacity.Demand
+	// failingSince is the time of the first failed report, or of the last warning about
+	// failures; zero after a success.
+	failingSince time.Time
 }
 
-// NewReporter returns the work of the usage duty.
-func NewReporter(o ReporterOptions) *Reporter { return &Reporter{opt: o} }
+// NewReporter returns a reporter with no counts.
+func NewReporter(o ReporterOptions) *Reporter {
+	return &Reporter{opt: o, meter: usage.NewMeter(o.Process, o.Window, settleTime),
+		demands: func() []capacity.Demand { return nil }}
+}
 
-// Do implements duties.Work.
-func (r *Reporter) Do(ctx context.Context, t *duties.Tenure) {
-	now := time.Now()
-	if t.Term != r.term {
-		r.term, r.next, r.notBefore = t.Term, 0, time.Time{}
-		r.reach.Begin(now)
+// SetDemands sets the function that returns the demand for pools. Call it before Serve.
+func (r *Reporter) SetDemands(f func() []capacity.Demand) { r.demands = f }
+
+// String names the service in the supervisor's log.
+func (r *Reporter) String() string { return "usage" }
+
+// Began counts a run that began the given time ago.
+func (r *Reporter) Began(customer string, ago time.Duration) {
+	if customer == "" {
+		return // public routes have no customer to count for
 	}
-	d := r.opt.State()
-	if record, ok := d.Usage.FirstUnacknowledged(); ok {
-		if !now.Before(r.notBefore) {
-			r.report(ctx, t, record.Window, &d.Usage)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.meter.RecordRun(boottime.Now().Add(-ago), customer, time.Now().Add(-ago))
+}
+
+// Now returns the agreed time of day; ok is false while it is unknown.
+func (r *Reporter) Now() (now time.Time, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.clock.At(boottime.Now())
+}
+
+// Serve sends reports until the context ends, and then a final one.
+func (r *Reporter) Serve(ctx context.Context) error {
+	for {
+		select {
+		case <-ctx.Done():
+			r.reportFinal(ctx)
+			return ctx.Err()
+		case <-time.After(r.interval()):
+			r.report(ctx, reportTimeout)
 		}
-		return
-	}
-	agreed, ok := r.opt.Now()
-	if !ok {
-		return
-	}
-	if w := r.nextWindow(agreed, &d.Usage); r.due(agreed, w, &d.Usage) {
-		r.report(ctx, t, w, &d.Usage)
 	}
 }
 
-// nextWindow returns the window to be closed next. Where nothing ran for long, or the
-// group was away, empty windows are passed over.
-func (r *Reporter) nextWindow(agreed time.Time, v *usage.View) usage.Window {
-	current := usage.WindowAt(agreed, r.opt.Window)
-	if r.next == 0 {
-		r.next = current
-	}
-	if v.Through > 0 {
-		r.next = v.Through + 1
-	} else if v.FirstOpen > 0 {
-		r.next = min(r.next, v.FirstOpen)
-	}
-	if current-r.next <= mostGap {
-		return r.next
-	}
-	r.next = current - 1
-	if v.FirstOpen > 0 {
-		r.next = min(r.next, v.FirstOpen)
+// reportFinal reports the remaining counts of a stopping instance.
+func (r *Reporter) reportFinal(ctx context.Context) {
+	r.mu.Lock()
+	pending := r.meter.Pending()
+	r.mu.Unlock()
+	if pending {
+		r.report(context.WithoutCancel(ctx), finalReportTimeout)
 	}
-	return r.next
 }
 
-// due reports whether a window is to be closed: all that live have told everything, or it
-// can't wait any longer.
-func (r *Reporter) due(agreed time.Time, w usage.Window, v *usage.View) bool {
-	late := agreed.Sub(w.End(r.opt.Window))
-	if late <= settleTime {
-		return false
+func (r *Reporter) interval() time.Duration {
+	if _, ok := r.Now(); !ok {
+		return minInterval / 2 // nothing can be reported before the first response
 	}
-	return late >= time.Duration(waitShare*float64(r.opt.Within)) || v.Missing(r.opt.Tellers(), w) == 0
+	longest := maxInterval
+	if len(r.demands()) > 0 {
+		longest = maxDemandInterval
+	}
+	share := time.Duration(windowShare * float64(r.opt.Window))
+	return max(min(share, longest), minInterval, time.Duration(r.opt.Instances())*intervalPerInstance)
 }
 
-// report closes a window, unless it is closed, and reports what it then holds.
-func (r *Reporter) report(ctx context.Context, t *duties.Tenure, w usage.Window, v *usage.View) {
-	r.notBefore = time.Now().Add(retryPause)
-	act := state.EffectCommand{Close: w}
-	if agreed, ok := r.opt.Now(); ok {
-		act.Forget = usage.WindowAt(agreed.Add(-r.opt.Keep), r.opt.Window)
+func (r *Reporter) report(ctx context.Context, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	req := reportRequest{Instance: r.opt.Instance, TimeOfDay: time.Now().UnixNano(), Demands: r.demands()}
+	r.mu.Lock()
+	if _, ok := r.clock.At(boottime.Now()); ok && r.opt.ObservesRuns {
+		req.Report = r.meter.NextReport(boottime.Now(), r.agreedTime)
 	}
-	missing := v.Missing(r.opt.Tellers(), w)
-	res, err := t.Record(ctx, act)
-	if err != nil || res.Window == nil {
-		log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "close window", "window": w}).Warn("will be tried again")
+	r.mu.Unlock()
+	reply, err := replica.CallLeader[reportReply](ctx, r.opt.Client, methodReport, &req)
+	r.recordResult(err)
+	if err != nil {
 		return
 	}
-	outcome := provider.Accepted
-	if r.opt.Provider.Address != "" {
-		outcome = r.opt.Provider.Report(ctx, t, res.Fence, *res.Window)
-	}
-	fields := log.Fields{"step": "report usage", "window": w, "customers": len(res.Window.Counts), "fence": res.Fence,
-		"outcome": outcome, "missing": missing, "late": v.Late}
-	if agreed, ok := r.opt.Now(); ok {
-		fields["age_ms"] = agreed.Sub(w.End(r.opt.Window)).Milliseconds()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.meter.Acknowledged(reply.Counted)
+	if reply.Agreed != 0 {
+		r.clock.Set(boottime.Now(), time.Unix(0, reply.Agreed))
 	}
-	log.WithFields(fields).Info("window closed")
-	r.note(ctx, t, w, outcome)
 }
 
-// note records that a window was taken, or gives the duty away where this instance can't
-// do it.
-func (r *Reporter) note(ctx context.Context, t *duties.Tenure, w usage.Window, outcome provider.Outcome) {
+// agreedTime converts a monotonic time to the agreed time of day. Call it with the lock
+// held, once the agreed time is known.
+func (r *Reporter) agreedTime(monotonic time.Time) time.Time {
+	at, _ := r.clock.At(monotonic)
+	return at
+}
+
+// warnAfter is how long reports may fail before a warning is logged.
+const warnAfter = 3 * time.Second
+
+func (r *Reporter) recordResult(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	now := time.Now()
-	lost := r.reach.Note(now, outcome)
 	switch {
-	case outcome == provider.Accepted:
-		r.notBefore = now.Add(r.opt.Pause)
-		if _, err := t.Record(ctx, state.EffectCommand{Taken: w}); err != nil {
-			log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "note taken window", "window": w}).Warn("it will be reported once more, with the same counts")
-		}
-	case outcome == provider.Refused:
-		// Only a higher fence refuses a report: someone else has the duty.
-		t.GiveUp(ctx, "the provider has seen a higher fence")
-	case lost:
-		t.GiveUp(ctx, provider.OutOfReach)
+	case err == nil:
+		r.failingSince = time.Time{}
+	case r.failingSince.IsZero():
+		r.failingSince = now
+	case now.Sub(r.failingSince) >= warnAfter:
+		r.failingSince = now
+		log.WithError(eris.Cause(err)).WithField("step", "tell usage").Warn("counts of runs are kept until the replica group answers")
 	}
 }
--- a/daemon/usage/wire.go
+++ b/daemon/usage/wire.go
@@ -1,5 +1,5 @@
-// Package usage counts the runs that entries see, brings the counts into the replicated
-// log, and reports closed windows to whoever asks for them.
+// Package usage counts the runs that entries observe, commits the counts to the replicated
+// log, and exports closed windows to the provider.
 package usage
 
 import (
@@ -8,23 +8,23 @@
 	"cardamomwick.example/daemon/replica"
 )
 
-// methodTell brings a report to the replica group's leader.
-const methodTell = "usage.tell"
+// methodReport sends a report to the replica group's leader.
+const methodReport = "usage.tell"
 
-// tellRequest is what one instance tells the leader.
-type tellRequest struct {
+// reportRequest is the periodic message of an instance to the leader.
+type reportRequest struct {
 	Instance string `msgpack:"i"`
-	// TimeOfDay is the instance's own, in Unix nanoseconds.
+	// TimeOfDay is the instance's own time of day in Unix nanoseconds.
 	TimeOfDay int64 `msgpack:"t"`
-	// Report is nil from instances that see no runs.
+	// Report is nil from instances that observe no runs.
 	Report *usage.Report `msgpack:"r,omitempty"`
-	// Demands are from instances that know the load of whole pools.
+	// Demands is set by instances that know the load of whole pools.
 	Demands []capacity.Demand `msgpack:"d,omitempty"`
 }
 
-type tellReply struct {
+type reportReply struct {
 	replica.Redirect `msgpack:",inline"`
-	// Counted is the last report of the asking process that is in the log.
+	// Counted is the number of the reporter's last report in the log.
 	Counted uint64 `msgpack:"c"`
 	// Agreed is the agreed time of day in Unix nanoseconds, zero while there is none.
 	Agreed int64 `msgpack:"a,omitempty"`
