--- a/daemon/capacity/orderer.go
+++ b/daemon/capacity/orderer.go
@@ -178,7 +178,7 @@
 		lost = o.note(time.Now(), r, need) || lost
 	}
 	if lost {
-		t.GiveUp(ctx, provider.OutOfReach)
+		t.Release(ctx, provider.OutOfReach)
 	}
 }
 
--- a/daemon/duties/runner.go
+++ b/daemon/duties/runner.go
@@ -1,5 +1,5 @@
-// Package duties lets one instance at a time do a job that must not be done twice: it
-// holds the duty's lease in the replicated log, and does the work meanwhile.
+// Package duties runs jobs that must be done by one instance at a time: it acquires the
+// duty's lease in the replicated log and does the work while it holds the lease.
 package duties
 
 import (
@@ -19,17 +19,18 @@
 
 // Timing of a runner.
 const (
-	// leasePeriod is how often the lease is looked at: a tenth of the shortest renewal.
-	leasePeriod = 100 * time.Millisecond
-	// workPeriod is the pause between two rounds of work.
-	workPeriod = 100 * time.Millisecond
-	// proposeTimeout bounds a commit; it is shorter than a lease is valid.
+	// leaseInterval is the time between two checks of the lease: a tenth of the shortest
+	// renewal interval.
+	leaseInterval = 100 * time.Millisecond
+	// workInterval is the time between two calls of Work.Do.
+	workInterval = 100 * time.Millisecond
+	// proposeTimeout bounds a commit; it is shorter than the validity of a lease.
 	proposeTimeout = 1500 * time.Millisecond
-	// releaseTimeout bounds the release of the lease while stopping.
+	// releaseTimeout bounds the release of a lease.
 	releaseTimeout = 600 * time.Millisecond
 )
 
-// ErrNotHolder: the duty has another holder, or its lease has run out.
+// ErrNotHolder: another instance holds the duty, or the lease has expired.
 var ErrNotHolder = eris.New("not the holder of the duty")
 
 // Log is the replicated log.
@@ -37,77 +38,77 @@
 	Propose(ctx context.Context, c *state.Command) (state.Result, error)
 }
 
-// Work is what the holder of a duty does. It is called again and again while the lease is
-// held, by one goroutine, and returns soon.
+// Work is the job of a duty's holder. Do is called periodically by one goroutine while the
+// lease is held, and must return soon.
 type Work interface {
 	Do(ctx context.Context, t *Tenure)
 }
 
-// Options sets up a Runner.
+// Options configures a Runner.
 type Options struct {
 	Duty string
-	// Owner is this process; Instance is its name towards the outside.
-	Owner, Instance string
-	Rules           duty.Timing
-	Log             Log
-	// State is what this replica's log holds.
+	// Holder names this process in leases; Instance names it to external systems.
+	Holder, Instance string
+	Timing           duty.Timing
+	Log              Log
+	// State returns the duties' state in this replica's log.
 	State func() state.Duties
 	Work  Work
 }
 
-// Runner is a suture service.
+// Runner claims the lease of one duty and does its work. It is a suture service.
 type Runner struct {
 	opt Options
 
-	mu        sync.Mutex
-	contender *duty.Claimant
-	tenure    *Tenure
+	mu       sync.Mutex
+	claimant *duty.Claimant
+	tenure   *Tenure
 }
 
 // New returns the runner of a duty.
 func New(o Options) *Runner {
-	return &Runner{opt: o, contender: duty.NewClaimant(o.Owner, o.Rules, boottime.Now(), rand.Float64)}
+	return &Runner{opt: o, claimant: duty.NewClaimant(o.Holder, o.Timing, boottime.Now(), rand.Float64)}
 }
 
 // String names the service in the supervisor's log.
 func (r *Runner) String() string { return "duty " + r.opt.Duty }
 
-// Duty is the name of the duty.
+// Duty returns the name of the duty.
 func (r *Runner) Duty() string { return r.opt.Duty }
 
 // Holds reports whether this instance may act.
 func (r *Runner) Holds() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.contender.Holds(boottime.Now())
+	return r.claimant.Holds(boottime.Now())
 }
 
-// Serve holds the lease when it can, until the context ends; then it gives it back.
+// Serve keeps the lease whenever it can until the context ends, and then releases it.
 func (r *Runner) Serve(ctx context.Context) error {
-	worked := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(worked)
-		_ = loop.Every(ctx, workPeriod, func(time.Time) { r.work(ctx) }) // ends with the context
+		defer close(done)
+		_ = loop.Every(ctx, workInterval, func(time.Time) { r.work(ctx) }) // ends with the context
 	}()
-	err := loop.Every(ctx, leasePeriod, func(time.Time) { r.hold(ctx) })
-	<-worked
-	r.giveBack(context.WithoutCancel(ctx), "instance stops")
+	err := loop.Every(ctx, leaseInterval, func(time.Time) { r.updateLease(ctx) })
+	<-done
+	r.release(context.WithoutCancel(ctx), "instance is stopping")
 	return err
 }
 
-// hold looks at the lease, and renews or claims it when that is due.
-func (r *Runner) hold(ctx context.Context) {
+// updateLease reads the lease, and renews or claims it when that is due.
+func (r *Runner) updateLease(ctx context.Context) {
 	now := boottime.Now()
 	r.mu.Lock()
-	r.contender.Observe(now, r.opt.State().Duties[r.opt.Duty].Lease)
-	claim, ok := r.contender.Claim(now)
+	r.claimant.Observe(now, r.opt.State().Duties[r.opt.Duty].Lease)
+	claim, ok := r.claimant.Claim(now)
 	r.mu.Unlock()
 	if ok {
 		r.claim(ctx, now, claim)
 	}
 }
 
-// claim asks the log, and reports whether it was granted.
+// claim proposes a claim to the log and reports whether it was granted.
 func (r *Runner) claim(ctx context.Context, sent time.Time, claim duty.Claim) bool {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -116,33 +117,33 @@
 		log.WithFields(log.Fields{"step": "claim duty", "duty": r.opt.Duty, "seen": claim.Expected.Holder}).Debug("no answer; will be tried again")
 		return false
 	}
-	r.take(sent, res)
-	if res.Code == state.CodeOK && claim.Expected.Holder != r.opt.Owner && !claim.Release {
+	r.applyResult(sent, res)
+	if res.Code == state.CodeOK && claim.Expected.Holder != r.opt.Holder && !claim.Release {
 		log.WithFields(log.Fields{"step": "claim duty", "duty": r.opt.Duty, "term": res.Lease.Term, "before": claim.Expected.Holder}).Info("duty taken")
 	}
 	return res.Code == state.CodeOK
 }
 
-// take takes the lease that a command has left behind.
-func (r *Runner) take(sent time.Time, res state.Result) {
+// applyResult updates the claimant with the lease that results from a command.
+func (r *Runner) applyResult(sent time.Time, res state.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := boottime.Now()
 	if res.Code == state.CodeOK {
-		r.contender.Granted(now, sent, *res.Lease)
+		r.claimant.Granted(now, sent, *res.Lease)
 		return
 	}
-	r.contender.Observe(now, *res.Lease)
+	r.claimant.Observe(now, *res.Lease)
 }
 
 func (r *Runner) work(ctx context.Context) {
 	r.mu.Lock()
-	if !r.contender.Holds(boottime.Now()) {
+	if !r.claimant.Holds(boottime.Now()) {
 		r.tenure = nil
 		r.mu.Unlock()
 		return
 	}
-	term := r.contender.LastLease().Term
+	term := r.claimant.LastLease().Term
 	if r.tenure == nil || r.tenure.Term != term {
 		r.tenure = &Tenure{Term: term, Since: boottime.Now(), runner: r}
 	}
@@ -151,61 +152,61 @@
 	r.opt.Work.Do(ctx, t)
 }
 
-// giveBack releases the lease, so that another instance can take it at once.
-func (r *Runner) giveBack(ctx context.Context, reason string) {
+// release releases the lease, so that another instance can claim it at once.
+func (r *Runner) release(ctx context.Context, reason string) {
 	now := boottime.Now()
 	r.mu.Lock()
-	claim, ok := r.contender.Release(now)
+	claim, ok := r.claimant.Release(now)
 	r.mu.Unlock()
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	given := r.claim(ctx, now, claim)
+	released := r.claim(ctx, now, claim)
 	entry := log.WithFields(log.Fields{"step": "release duty", "duty": r.opt.Duty, "term": claim.Expected.Term, "reason": reason})
-	if !given {
-		entry.Info("nothing is done any more; the lease runs out by itself")
+	if !released {
+		entry.Info("duty stopped; its lease could not be released and will expire")
 		return
 	}
 	entry.Info("duty given back")
 }
 
-// Tenure is one instance's time as the holder of a duty.
+// Tenure is the period in which one instance holds a duty.
 type Tenure struct {
-	// Term is the lease's.
+	// Term is the term of the lease.
 	Term uint64
-	// Since is when it began, on the clock that is never set.
+	// Since is the beginning of the tenure on the monotonic clock.
 	Since  time.Time
 	runner *Runner
 }
 
-// Instance is the holder's name towards the outside.
+// Instance returns the holder's name for external systems.
 func (t *Tenure) Instance() string { return t.runner.opt.Instance }
 
-// Holds reports whether the holder may act now. Ask right before each effect: the process
-// may have been suspended since.
+// Holds reports whether the holder may act now. Call it right before each external effect,
+// as the process may have been suspended since the last call.
 func (t *Tenure) Holds() bool {
 	r := t.runner
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.contender.Holds(boottime.Now()) && r.contender.LastLease().Term == t.Term
+	return r.claimant.Holds(boottime.Now()) && r.claimant.LastLease().Term == t.Term
 }
 
-// Record puts an effect into the log and returns its fence. Nothing may be sent that was
-// not recorded.
-func (t *Tenure) Record(ctx context.Context, act state.EffectCommand) (state.Result, error) {
+// Record commits an effect to the log and returns its fencing token. No effect may be sent
+// without being recorded.
+func (t *Tenure) Record(ctx context.Context, effect state.EffectCommand) (state.Result, error) {
 	r := t.runner
-	act.Duty, act.Holder, act.Term = r.opt.Duty, r.opt.Owner, t.Term
+	effect.Duty, effect.Holder, effect.Term = r.opt.Duty, r.opt.Holder, t.Term
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	sent := boottime.Now()
-	res, err := r.opt.Log.Propose(ctx, &state.Command{Type: state.CommandEffect, Effect: &act})
+	res, err := r.opt.Log.Propose(ctx, &state.Command{Type: state.CommandEffect, Effect: &effect})
 	if err != nil {
 		return res, eris.Wrapf(err, "record effect of duty %s", r.opt.Duty)
 	}
 	if res.Lease != nil {
-		r.take(sent, res)
+		r.applyResult(sent, res)
 	}
 	if res.Code == state.CodeStale || !t.Holds() {
 		return res, ErrNotHolder
@@ -216,16 +217,18 @@
 	return res, nil
 }
 
-// Sending notes that an effect is about to be sent, and reports whether it may be.
-func (t *Tenure) Sending() bool {
+// BeginSend reports whether an effect may be sent now and, if so, records that it is about
+// to be.
+func (t *Tenure) BeginSend() bool {
 	if !t.Holds() {
 		return false
 	}
 	t.runner.mu.Lock()
 	defer t.runner.mu.Unlock()
-	t.runner.contender.RecordAction(boottime.Now())
+	t.runner.claimant.RecordAction(boottime.Now())
 	return true
 }
 
-// GiveUp gives the duty to another instance, once the rules allow it.
-func (t *Tenure) GiveUp(ctx context.Context, reason string) { t.runner.giveBack(ctx, reason) }
+// Release releases the duty for another instance, unless the lease's timing forbids it for
+// now.
+func (t *Tenure) Release(ctx context.Context, reason string) { t.runner.release(ctx, reason) }
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -101,7 +101,7 @@
 	defer cancel()
 	req = req.WithContext(ctx)
 	req.GetBody = nil // a library would send the call again on another connection
-	if !t.Sending() {
+	if !t.BeginSend() {
 		return Unreachable
 	}
 	resp, err := httpc.DoRequest(req)
--- a/daemon/routed_duties.go
+++ b/daemon/routed_duties.go
@@ -64,8 +64,8 @@
 }
 
 func (d *Routed) addRunner(name string, client *replica.Client, w duties.Work) {
-	r := duties.New(duties.Options{Duty: name, Owner: d.gossip.Self().Owner(), Instance: d.settings.Instance.Name,
-		Rules: duty.TimingFor(d.settings.Tuned().Provider.Exclusive), Log: client, State: d.replica.Duties, Work: w})
+	r := duties.New(duties.Options{Duty: name, Holder: d.gossip.Self().Owner(), Instance: d.settings.Instance.Name,
+		Timing: duty.TimingFor(d.settings.Tuned().Provider.Exclusive), Log: client, State: d.replica.Duties, Work: w})
 	d.runners = append(d.runners, r)
 	d.services = append(d.services, r)
 }
--- a/daemon/usage/exporter.go
+++ b/daemon/usage/exporter.go
@@ -153,8 +153,8 @@
 		}
 	case outcome == provider.Refused:
 		// Reports are only refused after a higher fencing token: another instance has the duty.
-		t.GiveUp(ctx, "the provider has seen a higher fence")
+		t.Release(ctx, "the provider has seen a higher fence")
 	case unreachable:
-		t.GiveUp(ctx, provider.OutOfReach)
+		t.Release(ctx, provider.OutOfReach)
 	}
 }
