--- a/daemon/capacity/orderer.go
+++ b/daemon/capacity/orderer.go
@@ -17,40 +17,40 @@
 	"cardamomwick.example/daemon/provider"
 )
 
-// DutyName is the duty of ordering backend servers.
+// DutyName is the name of the duty to order backend servers.
 const DutyName = "servers"
 
-// period is the time between two plans: an eighth of the shortest boot seen.
-const period = 500 * time.Millisecond
+// planInterval is the time between two plans: an eighth of the shortest boot time seen.
+const planInterval = 500 * time.Millisecond
 
-// Options sets up an Orderer.
+// Options configures an Orderer.
 type Options struct {
 	Policy   capacity.Policy
 	Provider provider.Client
-	// Declaration returns the one in force, nil before the first.
+	// Declaration returns the declaration in force, nil before the first one.
 	Declaration func() *routing.Declaration
-	// Servers returns the backend servers that are known, and whether that is up to date.
+	// Servers returns the known backend servers, and whether the list is up to date.
 	Servers func() ([]fleet.Server, bool)
-	// State is what the log holds of earlier orders.
+	// State returns the replicated state of the duties, which includes earlier orders.
 	State func() state.Duties
-	// Demands asks for what the entries know.
+	// Demands requests the demand reported by the entries.
 	Demands func(context.Context) ([]capacity.Demand, error)
 }
 
-// Orderer is the work of the duty.
+// Orderer implements the duty: it plans the servers of each pool and orders them.
 type Orderer struct {
 	opt Options
 
-	term     uint64
-	planned  time.Time
-	planners map[string]*capacity.Planner
-	reach    provider.Reach
+	term         uint64
+	lastPlan     time.Time
+	planners     map[string]*capacity.Planner
+	reachability provider.Reachability
 
 	mu     sync.Mutex
-	counts []Count
+	counts []ZoneCounts
 }
 
-// New returns the work of the duty of ordering servers.
+// New returns an orderer that has planned nothing.
 func New(o Options) *Orderer { return &Orderer{opt: o} }
 
 // Do implements duties.Work.
@@ -58,44 +58,44 @@
 	now := time.Now()
 	if t.Term != o.term {
 		o.term, o.planners = t.Term, map[string]*capacity.Planner{}
-		o.reach.Begin(now)
+		o.reachability.Reset(now)
 	}
-	if now.Sub(o.planned) < period {
+	if now.Sub(o.lastPlan) < planInterval {
 		return
 	}
-	o.planned = now
+	o.lastPlan = now
 	servers, fresh := o.opt.Servers()
 	d := o.opt.Declaration()
 	if d == nil || !fresh {
 		return
 	}
-	needs := o.needs(ctx)
+	demands := o.demands(ctx)
 	var orders []capacity.Order
-	var counts []Count
+	var counts []ZoneCounts
 	for i := range d.Pools {
 		pool := &d.Pools[i]
 		if pool.Scaling == nil {
 			continue
 		}
-		in := input(pool, servers, needs)
+		in := planInput(pool, servers, demands)
 		p := o.planner(pool.Name)
 		orders = append(orders, p.Next(now, in)...)
-		counts = append(counts, countsOf(p.Status(now), &in)...)
+		counts = append(counts, zoneCounts(p.Status(now), &in)...)
 	}
 	o.mu.Lock()
 	o.counts = counts
 	o.mu.Unlock()
 	if len(orders) > 0 {
-		o.give(ctx, t, orders, needs)
+		o.sendOrders(ctx, t, orders, demands)
 	}
 }
 
-// needs asks for the servers that each pool needs.
-func (o *Orderer) needs(ctx context.Context) map[string]capacity.Demand {
+// demands returns the reported demand by pool.
+func (o *Orderer) demands(ctx context.Context) map[string]capacity.Demand {
 	out := map[string]capacity.Demand{}
 	list, err := o.opt.Demands(ctx)
 	if err != nil {
-		log.WithError(eris.Cause(err)).WithField("step", "ask for demand").Debug("the plan goes on without")
+		log.WithError(eris.Cause(err)).WithField("step", "request demand").Debug("planning without the demand")
 	}
 	for _, d := range list {
 		out[d.Pool] = d
@@ -112,10 +112,10 @@
 	return p
 }
 
-// input is what a plan for a pool is made from.
-func input(pool *routing.Pool, servers []fleet.Server, needs map[string]capacity.Demand) capacity.Input {
+// planInput returns the planner's input for a pool.
+func planInput(pool *routing.Pool, servers []fleet.Server, demands map[string]capacity.Demand) capacity.Input {
 	in := capacity.Input{Pool: pool.Name, Scaling: *pool.Scaling, Need: -1}
-	if d, known := needs[pool.Name]; known {
+	if d, known := demands[pool.Name]; known {
 		in.Need = d.Servers()
 	}
 	at := map[string]int{}
@@ -150,13 +150,13 @@
 	return in
 }
 
-// give sends orders: those of one zone one after the other, since a provider checks their
-// fences together, those of several zones side by side.
-func (o *Orderer) give(ctx context.Context, t *duties.Tenure, orders []capacity.Order, needs map[string]capacity.Demand) {
-	type place struct{ pool, zone string }
-	zones := map[place][]capacity.Order{}
+// sendOrders sends orders: sequentially for one zone of a pool, since a provider checks
+// their fencing tokens together, and concurrently otherwise.
+func (o *Orderer) sendOrders(ctx context.Context, t *duties.Tenure, orders []capacity.Order, demands map[string]capacity.Demand) {
+	type poolZone struct{ pool, zone string }
+	zones := map[poolZone][]capacity.Order{}
 	for _, x := range orders {
-		at := place{x.Pool, x.Zone}
+		at := poolZone{x.Pool, x.Zone}
 		zones[at] = append(zones[at], x)
 	}
 	var wait sync.WaitGroup
@@ -166,34 +166,35 @@
 		go func() {
 			defer wait.Done()
 			for _, x := range list {
-				results <- o.order(ctx, t, x)
+				results <- o.send(ctx, t, x)
 			}
 		}()
 	}
 	wait.Wait()
 	close(results)
-	lost := false
+	unreachable := false
 	for r := range results {
-		need := needs[r.order.Pool]
-		lost = o.note(time.Now(), r, need) || lost
+		demand := demands[r.order.Pool]
+		unreachable = o.recordResult(time.Now(), r, demand) || unreachable
 	}
-	if lost {
-		t.Release(ctx, provider.OutOfReach)
+	if unreachable {
+		t.Release(ctx, provider.ReasonUnreachable)
 	}
 }
 
-// result is what became of an order.
+// result is the result of an order.
 type result struct {
 	order   capacity.Order
 	fence   uint64
 	outcome provider.Outcome
 }
 
-func (o *Orderer) order(ctx context.Context, t *duties.Tenure, x capacity.Order) result {
+// send records an order in the log and sends it to the provider.
+func (o *Orderer) send(ctx context.Context, t *duties.Tenure, x capacity.Order) result {
 	r := result{order: x, outcome: provider.Unreachable}
 	res, err := t.Record(ctx, state.EffectCommand{Order: &x})
 	if err != nil {
-		log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "record order", "pool": x.Pool, "zone": x.Zone}).Warn("not sent")
+		log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "record order", "pool": x.Pool, "zone": x.Zone}).Warn("order not sent")
 		return r
 	}
 	r.fence = res.Fence
@@ -201,8 +202,9 @@
 	return r
 }
 
-// note takes the outcome of an order, and reports whether the provider is out of reach.
-func (o *Orderer) note(now time.Time, r result, need capacity.Demand) (lost bool) {
+// recordResult processes the result of an order, and reports whether the provider has been
+// unreachable for too long.
+func (o *Orderer) recordResult(now time.Time, r result, demand capacity.Demand) (unreachable bool) {
 	p := o.planner(r.order.Pool)
 	p.RecordResult(now, r.order, r.outcome == provider.Accepted)
 	if r.outcome == provider.Refused && r.order.Reclaimable {
@@ -210,30 +212,31 @@
 	}
 	st := p.Status(now)
 	log.WithFields(log.Fields{"step": "order servers", "pool": r.order.Pool, "zone": r.order.Zone, "reclaimable": r.order.Reclaimable,
-		"count": r.order.Count, "fence": r.fence, "outcome": r.outcome, "want": st.Want, "need": st.Need, "short": need.Short, "long": need.Long,
-		"running": need.Running}).Info("servers ordered")
-	return o.reach.Note(now, r.outcome)
+		"count": r.order.Count, "fence": r.fence, "outcome": r.outcome, "want": st.Want, "need": st.Need, "short": demand.Short, "long": demand.Long,
+		"running": demand.Running}).Info("servers ordered")
+	return o.reachability.Record(now, r.outcome)
 }
 
-// Count is what the holder of the duty wants and sees in a zone, for metrics.
-type Count struct {
+// ZoneCounts holds the wanted and present servers in a zone as of the last plan, for
+// metrics.
+type ZoneCounts struct {
 	Pool, Zone           string
 	Want                 int
 	Regular, Reclaimable int
-	// Price is what the servers cost, in regular servers of a zone with price 1.
+	// Price is the cost of the servers in units of a regular server in a zone with price 1.
 	Price float64
 }
 
-func countsOf(st capacity.Status, in *capacity.Input) []Count {
-	var out []Count
+func zoneCounts(st capacity.Status, in *capacity.Input) []ZoneCounts {
+	var out []ZoneCounts
 	for _, z := range in.Zones {
-		out = append(out, Count{Pool: in.Pool, Zone: z.Name, Want: st.Want, Regular: z.Regular, Reclaimable: z.Reclaimable, Price: in.Scaling.Price(z)})
+		out = append(out, ZoneCounts{Pool: in.Pool, Zone: z.Name, Want: st.Want, Regular: z.Regular, Reclaimable: z.Reclaimable, Price: in.Scaling.Price(z)})
 	}
 	return out
 }
 
-// Counts returns what the last plan wanted and saw.
-func (o *Orderer) Counts() []Count {
+// Counts returns the wanted and present servers by zone as of the last plan.
+func (o *Orderer) Counts() []ZoneCounts {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.counts
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -1,4 +1,4 @@
-// Package provider calls whoever provides the machines, on behalf of the holders of
+// Package provider calls the API of the infrastructure provider on behalf of the holders of
 // duties.
 package provider
 
@@ -19,20 +19,20 @@
 	"cardamomwick.example/daemon/duties"
 )
 
-// Protocol is how a provider is spoken to. An adapter provides it.
+// Protocol encodes calls for a provider. An adapter implements it.
 type Protocol interface {
-	// UsageReport is the call that reports a window.
+	// UsageReport returns the request that reports a window.
 	UsageReport(call Call, r usage.Record) (*http.Request, error)
-	// ServerOrder is the call that orders backend servers.
+	// ServerOrder returns the request that orders backend servers.
 	ServerOrder(call Call, o capacity.Order) (*http.Request, error)
-	// Duties reads which duties the provider gives, by its own words for them.
-	Duties(words []string) Duties
+	// Duties translates the provider's own names of the duties that it requests.
+	Duties(names []string) Duties
 }
 
-// Duties says what a provider asks for and takes.
+// Duties states which calls a provider requests and accepts.
 type Duties struct{ Usage, Servers bool }
 
-// Call is what all calls to the provider have.
+// Call holds the data that all calls to the provider have in common.
 type Call struct {
 	Address string
 	// Holder is the instance that holds the duty.
@@ -40,27 +40,29 @@
 	Fence  uint64
 }
 
-// Outcome tells what became of a call.
+// Outcome is the outcome of a call.
 type Outcome string
 
 // Outcomes of a call.
 const (
 	// Accepted calls have been carried out.
 	Accepted Outcome = "accepted"
-	// Refused calls have not: a higher fence was seen, or there is nothing to be had.
+	// Refused calls have not been carried out: the provider has seen a higher fencing token,
+	// or nothing is available.
 	Refused Outcome = "refused"
-	// Busy: the provider takes no more calls at the moment.
+	// Busy: the provider accepts no more calls at the moment.
 	Busy Outcome = "busy"
-	// Failed: the provider answers that it can't.
+	// Failed: the provider returned an error.
 	Failed Outcome = "failed"
-	// Unreachable: there was no connection; the call has not arrived.
+	// Unreachable: there was no connection; the call was not delivered.
 	Unreachable Outcome = "unreachable"
-	// Unanswered calls may be carried out later.
+	// Unanswered: there was no response; the call may still be carried out.
 	Unanswered Outcome = "unanswered"
 )
 
-// OutOfReach is why a holder gives its duty away that the provider does not answer.
-const OutOfReach = "the provider does not answer here"
+// ReasonUnreachable is the reason for which a holder releases its duty when it can't reach
+// the provider.
+const ReasonUnreachable = "the provider does not answer here"
 
 // Client makes the calls of the holders of duties. The zero value has no provider.
 type Client struct {
@@ -84,23 +86,23 @@
 	return Call{Address: c.Address, Holder: t.Instance(), Fence: fence}
 }
 
-// callTimeout bounds a call. It is shorter than a lease is valid, so that a holder whose
-// call has no answer still knows that it is the holder.
+// callTimeout bounds a call. It is shorter than the validity of a lease, so that a holder
+// whose call is not answered still knows that it is the holder.
 const callTimeout = 1500 * time.Millisecond
 
-// maxAnswer bounds what is read of an answer.
-const maxAnswer = 64 << 10
+// maxResponseBytes bounds the part of a response that is read.
+const maxResponseBytes = 64 << 10
 
-// send makes one call of a holder, never twice; encoding is what went wrong before.
-func send(ctx context.Context, t *duties.Tenure, req *http.Request, encoding error) Outcome {
-	if encoding != nil {
-		log.WithError(encoding).WithField("step", "encode call to provider").Error("it can't be sent")
+// send makes a holder's call at most once. encodeErr is the error from encoding it.
+func send(ctx context.Context, t *duties.Tenure, req *http.Request, encodeErr error) Outcome {
+	if encodeErr != nil {
+		log.WithError(encodeErr).WithField("step", "encode call to provider").Error("call not sent")
 		return Failed
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req = req.WithContext(ctx)
-	req.GetBody = nil // a library would send the call again on another connection
+	req.GetBody = nil // otherwise net/http may send the call again on another connection
 	if !t.BeginSend() {
 		return Unreachable
 	}
@@ -114,11 +116,11 @@
 		return Unanswered
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer)) // only to keep the connection
-	return outcome(resp.StatusCode)
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)) // to reuse the connection
+	return outcomeOf(resp.StatusCode)
 }
 
-func outcome(status int) Outcome {
+func outcomeOf(status int) Outcome {
 	switch {
 	case status >= 200 && status < 300:
 		return Accepted
--- a/daemon/usage/exporter.go
+++ b/daemon/usage/exporter.go
@@ -52,8 +52,8 @@
 	// next is the next window to close, as far as known in this tenure.
 	next usage.Window
 	// notBefore is the earliest time of the next call to the provider.
-	notBefore time.Time
-	reach     provider.Reach
+	notBefore    time.Time
+	reachability provider.Reachability
 }
 
 // NewExporter returns an exporter.
@@ -64,7 +64,7 @@
 	now := time.Now()
 	if t.Term != e.term {
 		e.term, e.next, e.notBefore = t.Term, 0, time.Time{}
-		e.reach.Begin(now)
+		e.reachability.Reset(now)
 	}
 	d := e.opt.State()
 	if record, ok := d.Usage.FirstUnacknowledged(); ok {
@@ -144,7 +144,7 @@
 // instance can't perform it.
 func (e *Exporter) handleOutcome(ctx context.Context, t *duties.Tenure, w usage.Window, outcome provider.Outcome) {
 	now := time.Now()
-	unreachable := e.reach.Note(now, outcome)
+	unreachable := e.reachability.Record(now, outcome)
 	switch {
 	case outcome == provider.Accepted:
 		e.notBefore = now.Add(e.opt.MinInterval)
@@ -155,6 +155,6 @@
 		// Reports are only refused after a higher fencing token: another instance has the duty.
 		t.Release(ctx, "the provider has seen a higher fence")
 	case unreachable:
-		t.Release(ctx, provider.OutOfReach)
+		t.Release(ctx, provider.ReasonUnreachable)
 	}
 }
