--- a/cmd/cardamomwickd/main.go
+++ b/cmd/cardamomwickd/main.go
@@ -68,7 +68,7 @@
 		return cli.Exit(err.Error(), exitSettings)
 	}
 	if cmd.Bool("check") {
-		for _, p := range s.Notices() {
+		for _, p := range s.Warnings() {
 			fmt.Printf("%s: %s: %s\n", file, p.Key, p.Reason)
 		}
 		fmt.Println("settings are good")
@@ -76,7 +76,7 @@
 	}
 	debug.SetGCPercent(gcPercent)
 	daemon.SetUpLog(logFile(s), s.Log.Level, s.Instance.Name)
-	logNotices(s, file)
+	logWarnings(s, file)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	hangUps := make(chan os.Signal, 1)
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// logNotices says which settings were not taken as they stand.
-func logNotices(s *settings.Settings, file string) {
-	for _, p := range s.Notices() {
+// logWarnings logs the settings whose values were replaced.
+func logWarnings(s *settings.Settings, file string) {
+	for _, p := range s.Warnings() {
 		log.WithFields(log.Fields{"step": "read settings", "file": file, "key": p.Key}).Warn(p.Reason)
 	}
 }
--- a/cmd/cardamomwickd/reload.go
+++ b/cmd/cardamomwickd/reload.go
@@ -49,6 +49,6 @@
 	if err != nil {
 		return err
 	}
-	logNotices(s, file)
+	logWarnings(s, file)
 	return d.Reload(s)
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -176,7 +176,7 @@
 	log.WithField("in_flight", d.entry.InFlight()).Info("draining")
 	time.Sleep(d.settings.Callers.AddressTTL.D() + leaveMargin)
 	d.entry.Refuse()
-	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Tuned().DrainTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Tuning().DrainTimeout)
 	defer cancel()
 	if err := d.entry.Wait(ctx); err != nil {
 		return fmt.Errorf("%d calls were still in flight at drain_timeout: %w", d.entry.InFlight(), err)
--- a/daemon/routed.go
+++ b/daemon/routed.go
@@ -98,7 +98,7 @@
 	client := replica.NewClient(d.transport, d.directory)
 	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Evaluators: d.gossip.Entries, Log: client})
 	d.services = append(d.services, d.keeper)
-	if settings.On(s.Usage.Record) {
+	if settings.Enabled(s.Usage.Record) {
 		d.addTeller(client)
 	}
 	if s.Instance.DataFolder != "" {
@@ -160,7 +160,7 @@
 
 func (d *Routed) addEntry(a Adapter, client *replica.Client) error {
 	r := d.settings.Routing
-	tuned := d.settings.Tuned()
+	tuned := d.settings.Tuning()
 	d.router = router.New(router.Options{Protocol: a, Name: d.settings.Instance.Name,
 		Table:   func() *routing.Table { return d.watch.Table() },
 		Entries: func() int { return len(d.gossip.Entries()) },
@@ -270,7 +270,7 @@
 		return nil
 	}
 	began := time.Now()
-	cutOff := began.Add(time.Duration(drainShare * float64(d.settings.Tuned().DrainTimeout)))
+	cutOff := began.Add(time.Duration(drainShare * float64(d.settings.Tuning().DrainTimeout)))
 	log.WithField("in_flight", d.router.InFlight()).Info("draining")
 	time.Sleep(staleTTLs * d.TTL())
 	d.router.Close(cutOff)
--- a/daemon/routed_duties.go
+++ b/daemon/routed_duties.go
@@ -19,7 +19,7 @@
 func (d *Routed) addTeller(client *replica.Client) {
 	s := d.settings
 	d.teller = usage.NewReporter(usage.ReporterOptions{Client: client, Instance: s.Instance.Name, Process: d.gossip.Self().Owner(),
-		Window: s.Tuned().Usage.Window, Instances: d.instances, ObservesRuns: s.Callers.Address != ""})
+		Window: s.Tuning().Usage.Window, Instances: d.instances, ObservesRuns: s.Callers.Address != ""})
 	d.services = append(d.services, d.teller)
 }
 
@@ -41,23 +41,23 @@
 	}
 	collector := usage.NewCollector(d.transport, func() replica.View { v, _ := d.replica.View(); return v }, client, d.instances)
 	d.services = append(d.services, collector)
-	given := a.Duties(s.Provider.DutyWords())
+	given := a.Duties(s.Provider.DutyNames())
 	to := provider.Client{Address: s.Provider.Address, Protocol: a}
 	var reports provider.Client
-	if given.Usage && settings.On(s.Usage.Report) {
+	if given.Usage && settings.Enabled(s.Usage.Report) {
 		reports = to
 	}
-	tuned := s.Tuned()
+	tuned := s.Tuning()
 	d.addRunner(usage.DutyName, client, usage.NewExporter(usage.ExporterOptions{Window: tuned.Usage.Window, Within: tuned.Usage.Within,
 		Keep: tuned.Usage.Keep, MinInterval: callPause(tuned.Provider.CallsPerSecond), Reporters: d.tellers, Now: d.teller.Now, State: d.replica.Duties, Provider: reports}))
-	if given.Servers && settings.On(s.Capacity.Order) {
+	if given.Servers && settings.Enabled(s.Capacity.Order) {
 		d.addOrderer(to, client)
 	}
 }
 
 func (d *Routed) addOrderer(to provider.Client, client *replica.Client) {
-	t := d.settings.Tuned().Capacity
-	d.orderer = capacity.New(capacity.Options{Policy: core.Policy{Reserve: t.Reserve, RegularShare: t.RegularShare, MaxPrice: t.MostPrice},
+	t := d.settings.Tuning().Capacity
+	d.orderer = capacity.New(capacity.Options{Policy: core.Policy{Reserve: t.Reserve, RegularShare: t.RegularShare, MaxPrice: t.MaxPrice},
 		Provider: to, Declaration: d.control.Declaration, Servers: d.control.Servers, State: d.replica.Duties,
 		Demands: func(ctx context.Context) ([]core.Demand, error) { return usage.Demands(ctx, client) }})
 	d.addRunner(capacity.DutyName, client, d.orderer)
@@ -65,7 +65,7 @@
 
 func (d *Routed) addRunner(name string, client *replica.Client, w duties.Work) {
 	r := duties.New(duties.Options{Duty: name, Holder: d.gossip.Self().Owner(), Instance: d.settings.Instance.Name,
-		Timing: duty.TimingFor(d.settings.Tuned().Provider.Exclusive), Log: client, State: d.replica.Duties, Work: w})
+		Timing: duty.TimingFor(d.settings.Tuning().Provider.Exclusive), Log: client, State: d.replica.Duties, Work: w})
 	d.runners = append(d.runners, r)
 	d.services = append(d.services, r)
 }
--- a/daemon/routed_pages.go
+++ b/daemon/routed_pages.go
@@ -41,7 +41,7 @@
 		}
 	}
 	v := d.replica.Duties().Usage
-	length := d.settings.Tuned().Usage.Window
+	length := d.settings.Tuning().Usage.Window
 	page := api.UsagePage{Records: []api.UsageRecord{}, Late: v.Late}
 	for _, x := range v.Closed {
 		if int64(x.Window) <= after {
--- a/daemon/settings/duties.go
+++ b/daemon/settings/duties.go
@@ -7,59 +7,61 @@
 	"time"
 )
 
-// Provider is whoever provides the machines, where it takes calls of this system.
+// Provider configures the calls to the API of the infrastructure provider.
 type Provider struct {
-	// Address is where it takes them; host:port. Empty for none.
+	// Address is the address of the API; host:port. Empty for none.
 	Address string `toml:"address"`
-	// Duties are what it asks for and takes, in its own words, separated by commas.
+	// Duties lists the duties that the provider requests, by its own names, separated by
+	// commas.
 	Duties string `toml:"duties"`
-	// Exclusive is the time within which no two instances may act in turn on one duty.
+	// Exclusive is the time within which no two instances may act alternately on one duty.
 	// Default 3 s.
 	Exclusive Text `toml:"exclusive"`
-	// CallsPerSecond is what it takes of all instances together. Default 20.
+	// CallsPerSecond is the rate limit for all instances together. Default 20.
 	CallsPerSecond Text `toml:"calls_per_second"`
 }
 
-// Usage counts runs for each customer.
+// Usage configures the counting of runs per customer.
 type Usage struct {
-	// Record counts runs and keeps them in windows. Default true.
+	// Record counts runs and stores the counts in windows. Default true.
 	Record *bool `toml:"record"`
-	// Report sends windows to a provider that asks for them. Default true.
+	// Report sends windows to a provider that requests them. Default true.
 	Report *bool `toml:"report"`
 	// Window is the length of a window. Default 1 min.
 	Window Text `toml:"window"`
-	// Within is how long after its end a window must be reported. Default two windows.
+	// Within is the time after its end in which a window must be reported. Default two
+	// windows.
 	Within Text `toml:"within"`
 	// Keep is how long recorded windows are kept, at most 100,000 counts. Default 1 h.
 	Keep Text `toml:"keep"`
 }
 
-// Capacity orders backend servers where a declaration allows it.
+// Capacity configures the ordering of backend servers, where a declaration allows it.
 type Capacity struct {
-	// Order switches it on. Default true.
+	// Order enables it. Default true.
 	Order *bool `toml:"order"`
-	// Reserve is how many times the servers that are needed there should be after a zone
-	// has lost all of its reclaimable ones. Default 1.
+	// Reserve is the ratio of present to needed servers to keep when a zone loses all of its
+	// reclaimable servers. Default 1.
 	Reserve Text `toml:"reserve"`
-	// RegularShare is the part of the needed servers that may not be reclaimable. Default
-	// 0.
+	// RegularShare is the share of the needed servers that must not be reclaimable.
+	// Default 0.
 	RegularShare Text `toml:"regular_share"`
-	// MostPrice bounds what all servers of a pool cost at a time, in regular servers of a
-	// zone with price 1. Default 0: no bound.
+	// MostPrice bounds the concurrent cost of all servers of a pool, in units of a regular
+	// server in a zone with price 1. Default 0: no bound.
 	MostPrice Text `toml:"most_price"`
 }
 
-// TunedProvider are the provider's settings that only tune.
-type TunedProvider struct {
+// ProviderTuning holds the tuning settings of Provider.
+type ProviderTuning struct {
 	Exclusive      time.Duration
 	CallsPerSecond float64
 }
 
-// TunedUsage are the settings of usage that only tune.
-type TunedUsage struct{ Window, Within, Keep time.Duration }
+// UsageTuning holds the tuning settings of Usage.
+type UsageTuning struct{ Window, Within, Keep time.Duration }
 
-// TunedCapacity are the settings of capacity that only tune.
-type TunedCapacity struct{ Reserve, RegularShare, MostPrice float64 }
+// CapacityTuning holds the tuning settings of Capacity.
+type CapacityTuning struct{ Reserve, RegularShare, MaxPrice float64 }
 
 // Defaults of the duties.
 const (
@@ -73,32 +75,32 @@
 
 // Bounds of the duties' settings.
 const (
-	// leastExclusive is what renewals through the log need to be sure of a lease.
-	leastExclusive = time.Second
-	mostCalls      = 1000
-	// leastWindow is a few of the times between two reports of an instance.
-	leastWindow = 2 * time.Second
-	mostReserve = 10
-	mostPrice   = 1e6
-	// usualWithin is how many windows after its end a window must be reported.
-	usualWithin = 2
+	// minExclusive leaves enough time to renew a lease through the log.
+	minExclusive      = time.Second
+	maxCallsPerSecond = 1000
+	// minWindow is a few report intervals of an instance.
+	minWindow  = 2 * time.Second
+	maxReserve = 10
+	maxPrice   = 1e6
+	// defaultWithinWindows is the default of Usage.Within in windows.
+	defaultWithinWindows = 2
 )
 
-// tuneDuties resolves the settings of the duties that only tune.
-func (s *Settings) tuneDuties(n *notices) {
-	t := &s.tuned
-	t.Provider.Exclusive = n.time("provider.exclusive", s.Provider.Exclusive, DefaultExclusive, leastExclusive)
-	t.Provider.CallsPerSecond = max(1, n.number("provider.calls_per_second", s.Provider.CallsPerSecond, DefaultCallsPerSecond, mostCalls))
-	t.Usage.Window = n.time("usage.window", s.Usage.Window, DefaultUsageWindow, leastWindow)
-	t.Usage.Within = n.time("usage.within", s.Usage.Within, usualWithin*t.Usage.Window, leastWindow)
-	t.Usage.Keep = n.time("usage.keep", s.Usage.Keep, DefaultUsageKeep, leastWindow)
-	t.Capacity.Reserve = max(1, n.number("capacity.reserve", s.Capacity.Reserve, DefaultReserve, mostReserve))
-	t.Capacity.RegularShare = n.number("capacity.regular_share", s.Capacity.RegularShare, DefaultRegularShare, 1)
-	t.Capacity.MostPrice = n.number("capacity.most_price", s.Capacity.MostPrice, 0, mostPrice)
+// parseDutyTuning parses the tuning settings of the duties.
+func (s *Settings) parseDutyTuning(p *tuningParser) {
+	t := &s.tuning
+	t.Provider.Exclusive = p.time("provider.exclusive", s.Provider.Exclusive, DefaultExclusive, minExclusive)
+	t.Provider.CallsPerSecond = max(1, p.number("provider.calls_per_second", s.Provider.CallsPerSecond, DefaultCallsPerSecond, maxCallsPerSecond))
+	t.Usage.Window = p.time("usage.window", s.Usage.Window, DefaultUsageWindow, minWindow)
+	t.Usage.Within = p.time("usage.within", s.Usage.Within, defaultWithinWindows*t.Usage.Window, minWindow)
+	t.Usage.Keep = p.time("usage.keep", s.Usage.Keep, DefaultUsageKeep, minWindow)
+	t.Capacity.Reserve = max(1, p.number("capacity.reserve", s.Capacity.Reserve, DefaultReserve, maxReserve))
+	t.Capacity.RegularShare = p.number("capacity.regular_share", s.Capacity.RegularShare, DefaultRegularShare, 1)
+	t.Capacity.MaxPrice = p.number("capacity.most_price", s.Capacity.MostPrice, 0, maxPrice)
 }
 
-// DutyWords lists the provider's words for its duties.
-func (p *Provider) DutyWords() []string {
+// DutyNames returns the provider's names of the duties that it requests.
+func (p *Provider) DutyNames() []string {
 	var out []string
 	for w := range strings.SplitSeq(p.Duties, ",") {
 		if w = strings.TrimSpace(w); w != "" {
@@ -108,8 +110,8 @@
 	return out
 }
 
-// On reports whether a switch is on, which it is by default.
-func On(b *bool) bool { return b == nil || *b }
+// Enabled reports whether an optional setting is enabled, which is the default.
+func Enabled(b *bool) bool { return b == nil || *b }
 
 func (s *Settings) checkDuties(c *checker) {
 	_, _, err := net.SplitHostPort(s.Provider.Address)
--- a/daemon/settings/reference_test.go
+++ b/daemon/settings/reference_test.go
@@ -9,15 +9,15 @@
 	"cardamomwick.example/core/bundle"
 )
 
-// TestReferenceNamesEveryKey compares docs/REFERENCE.md with the types.
-func TestReferenceNamesEveryKey(t *testing.T) {
+// TestReferenceListsEveryKey compares the keys in docs/REFERENCE.md with those of the types.
+func TestReferenceListsEveryKey(t *testing.T) {
 	page, err := os.ReadFile("../../docs/REFERENCE.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var keys []string
-	collect(reflect.TypeOf(Settings{}), "", &keys)
-	collect(reflect.TypeOf(bundle.Bundle{}), "", &keys)
+	collectKeys(reflect.TypeOf(Settings{}), "", &keys)
+	collectKeys(reflect.TypeOf(bundle.Bundle{}), "", &keys)
 	for _, k := range keys {
 		if !strings.Contains(string(page), "| `"+k+"` |") {
 			t.Errorf("docs/REFERENCE.md lacks %s", k)
@@ -27,7 +27,7 @@
 		name, ok := strings.CutPrefix(line, "| `")
 		name, _, _ = strings.Cut(name, "`")
 		if ok && strings.Contains(line, "|") && strings.Count(name, ".") > 0 && !strings.Contains(name, "/") && !contains(keys, name) {
-			t.Errorf("docs/REFERENCE.md names %s, which no type has", name)
+			t.Errorf("docs/REFERENCE.md lists %s, which no type has", name)
 		}
 	}
 }
@@ -41,16 +41,16 @@
 	return false
 }
 
-func collect(t reflect.Type, prefix string, keys *[]string) {
+func collectKeys(t reflect.Type, prefix string, keys *[]string) {
 	for i := range t.NumField() {
 		f := t.Field(i)
 		key := prefix + f.Tag.Get("toml")
 		switch {
-		case !f.IsExported(): // never read from a file
+		case !f.IsExported(): // not decoded from the file
 		case f.Type.Kind() == reflect.Struct:
-			collect(f.Type, key+".", keys)
+			collectKeys(f.Type, key+".", keys)
 		case f.Type.Kind() == reflect.Map && f.Type.Elem().Kind() == reflect.Struct:
-			collect(f.Type.Elem(), key+".*.", keys)
+			collectKeys(f.Type.Elem(), key+".*.", keys)
 		default:
 			*keys = append(*keys, key)
 		}
--- a/daemon/settings/routing.go
+++ b/daemon/settings/routing.go
@@ -8,25 +8,26 @@
 	"unicode"
 )
 
-// Routing makes the instance serve declared routes.
+// Routing configures the serving of declared routes.
 type Routing struct {
-	// Enabled switches it on. Default false.
+	// Enabled enables it. Default false.
 	Enabled bool `toml:"enabled"`
-	// ReadinessAddress answers whether callers.address takes calls; IP:port.
+	// ReadinessAddress serves the readiness of callers.address; IP:port.
 	// Empty for none.
 	ReadinessAddress string `toml:"readiness_address"`
-	// ControlAddress is for operators and backend servers; IP:port. Needs a data
+	// ControlAddress serves operators and backend servers; IP:port. Requires a data
 	// folder. Empty for none.
 	ControlAddress string `toml:"control_address"`
-	// DirectoryAddress tells callers where to connect; IP:port. Empty for none.
+	// DirectoryAddress serves the addresses that callers connect to; IP:port. Empty for
+	// none.
 	DirectoryAddress string `toml:"directory_address"`
-	// RetryRatio is how many repeated attempts one call to a pool earns, over all
-	// instances. Default 0.1.
+	// RetryRatio is the number of retries allowed per call to a pool, over all instances.
+	// Default 0.1.
 	RetryRatio Text `toml:"retry_ratio"`
-	// RetrySlack is how many repeated attempts all instances may make besides in
+	// RetrySlack is the number of additional retries that all instances may make in
 	// RetryWindow. Default 10.
 	RetrySlack Text `toml:"retry_slack"`
-	// RetryWindow is the span of time that both hold for. Default 10 s.
+	// RetryWindow is the time that RetryRatio and RetrySlack apply to. Default 10 s.
 	RetryWindow Text `toml:"retry_window"`
 }
 
@@ -37,16 +38,16 @@
 	DefaultRetryWindow = 10 * time.Second
 )
 
-// mostName bounds a name that a platform gives, in bytes.
-const mostName = 255
+// maxNameBytes bounds a name that is assigned by a platform.
+const maxNameBytes = 255
 
-// platformName reports whether a platform's name can be used: it is only compared
-// and logged.
-func platformName(name string) bool {
-	return name != "" && len(name) <= mostName && !strings.ContainsFunc(name, unicode.IsControl)
+// validPlatformName reports whether a name that is assigned by a platform is valid. Such
+// names are only compared and logged.
+func validPlatformName(name string) bool {
+	return name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, unicode.IsControl)
 }
 
-// SeedAddresses returns the seeds' peer addresses.
+// SeedAddresses returns the peer addresses of the seeds.
 func (p *Peers) SeedAddresses() []string {
 	out := make([]string, 0, len(p.Seeds))
 	for _, s := range p.Seeds {
@@ -59,11 +60,11 @@
 	return out
 }
 
-// checkRouted checks the settings of an instance that serves declared routes.
-func (s *Settings) checkRouted() []Problem {
+// checkWithRouting checks the settings of an instance that serves declared routes.
+func (s *Settings) checkWithRouting() []Problem {
 	c := &checker{}
-	c.require(platformName(s.Instance.Name), "instance.name", fmt.Sprintf("is required: up to %d bytes of text", mostName))
-	c.require(platformName(s.Instance.AvailabilityZone), "instance.availability_zone", "is required: the zone this instance stands in")
+	c.require(validPlatformName(s.Instance.Name), "instance.name", fmt.Sprintf("is required: up to %d bytes of text", maxNameBytes))
+	c.require(validPlatformName(s.Instance.AvailabilityZone), "instance.availability_zone", "is required: the zone this instance stands in")
 	s.checkFrames(c)
 	c.optionalAddress("callers.address", s.Callers.Address)
 	c.require(s.Callers.AddressTTL.D() >= 100*time.Millisecond, "callers.address_ttl", "must be at least 100ms")
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a daemon's settings file (TOML). Every key is
-// documented at its field; unknown keys and bad values are errors that name
-// the file, the key and, where known, the line.
+// Package settings reads a daemon's settings file (TOML). Every key is documented at its
+// field. Unknown keys and invalid values are errors that name the file, the key and, if
+// known, the line. Invalid tuning settings only cause warnings if routing is enabled.
 package settings
 
 import (
@@ -20,7 +20,7 @@
 	"cardamomwick.example/core/bundle"
 )
 
-// Settings is one daemon's settings file.
+// Settings holds the contents of a daemon's settings file.
 type Settings struct {
 	Instance Instance `toml:"instance"`
 	Callers  Callers  `toml:"callers"`
@@ -34,100 +34,99 @@
 	Usage    Usage    `toml:"usage"`
 	Capacity Capacity `toml:"capacity"`
 	Faults   Faults   `toml:"faults"`
-	// Experiment switches a baseline policy on; see the type.
+	// Experiment selects a baseline policy.
 	Experiment Experiment `toml:"experiment"`
 
-	tuned   Tuned
-	notices []Problem
+	tuning   Tuning
+	warnings []Problem
 }
 
-// Instance says who this daemon is.
+// Instance identifies this daemon.
 type Instance struct {
 	// Name is unique among the instances. Required.
 	Name string `toml:"name"`
-	// AvailabilityZone is the zone that it stands in. Required.
+	// AvailabilityZone is the zone that the instance runs in. Required.
 	AvailabilityZone string `toml:"availability_zone"`
-	// DataFolder makes the instance a replica; empty for instances without a
-	// disk.
+	// DataFolder makes the instance a replica; empty for instances without a disk.
 	DataFolder string `toml:"data_folder"`
 }
 
-// Callers sets the HTTP listener for callers, backend servers and operators.
+// Callers configures the HTTP listener for callers, backend servers and operators.
 type Callers struct {
 	// Address is IP:port. Required.
 	Address string `toml:"address"`
-	// MaxBodyBytes bounds a call's body. Default 1 MiB.
+	// MaxBodyBytes bounds the body of a call. Default 1 MiB.
 	MaxBodyBytes int64 `toml:"max_body_bytes"`
-	// AddressTTL is how long callers may keep a list of addresses. Default 2 s.
+	// AddressTTL is how long callers may cache a list of addresses. Default 2 s.
 	AddressTTL bundle.Duration `toml:"address_ttl"`
 	// DrainTimeout bounds a graceful shutdown. Default 10 min.
 	DrainTimeout Text `toml:"drain_timeout"`
 }
 
-// Peers sets the frame listener for the other instances.
+// Peers configures the frame listener for the other instances.
 type Peers struct {
 	// Address is IP:port. Required.
 	Address string `toml:"address"`
-	// Listen is where frames are taken, IP:port, where that differs from Address:
-	// behind a port mapping. Default: Address.
+	// Listen is the listen address, IP:port, if it differs from Address, as behind a
+	// port mapping. Default: Address.
 	Listen string `toml:"listen"`
-	// Seeds are peer addresses through which the others are found. Required.
+	// Seeds are peer addresses through which other instances are discovered. Required.
 	Seeds []string `toml:"seeds"`
-	// SeedPort replaces the port of all seeds, where these are known by another
-	// of their addresses. Default 0: the seeds are taken as they stand.
+	// SeedPort replaces the port of all seeds, if they are known by another of their
+	// addresses. Default 0: the seeds are used unchanged.
 	SeedPort uint16 `toml:"seed_port"`
-	// Keys authenticate frames. The first is used for connecting, all are
-	// accepted, so that keys rotate without a stop. Required.
+	// Keys authenticate frames. The first is used for outgoing connections and all are
+	// accepted, so that keys can be rotated without downtime. Required.
 	Keys []FrameKey `toml:"keys"`
 }
 
-// FrameKey is a shared secret of the instances.
+// FrameKey is a secret shared by the instances.
 type FrameKey struct {
 	ID string `toml:"id"`
 	// Secret is at least 32 bytes in base64.
 	Secret string `toml:"secret"`
 }
 
-// Replicas names the peer addresses of the instances with a data folder.
+// Replicas configures the replica group: the instances with a data folder.
 type Replicas struct {
-	// Addresses holds an odd number of peer addresses. Required, except with
-	// routing, where the replicas are found through the seeds.
+	// Addresses holds an odd number of peer addresses. Required, except with routing,
+	// where the replicas are discovered through the seeds.
 	Addresses []string `toml:"addresses"`
-	// Bootstrap lets the seeds form the first group, on empty disks. With
-	// routing only. Default false.
+	// Bootstrap lets the seeds form the initial group on empty disks. Only with routing.
+	// Default false.
 	Bootstrap bool `toml:"bootstrap"`
 }
 
-// Trust names the operators trusted until the first bundle names its own.
+// Trust lists the operators that are trusted until the first bundle lists its own.
 type Trust struct {
 	// Operators maps names to ed25519 public keys in base64. Required.
 	Operators map[string]string `toml:"operators"`
 }
 
-// Log sets the log.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error. Default info.
 	Level string `toml:"level"`
 }
 
-// Metrics sets the metrics page.
+// Metrics configures the metrics page.
 type Metrics struct {
-	// Token is the bearer token for GET /metrics; empty closes the page.
+	// Token is the bearer token for GET /metrics; empty disables the page.
 	Token string `toml:"token"`
-	// Address serves the page without a token, at any path; IP:port. With routing
-	// only. Empty for none.
+	// Address serves the page without a token at any path; IP:port. Only with routing.
+	// Empty for none.
 	Address string `toml:"address"`
 }
 
-// Faults is for failure tests only.
+// Faults injects faults for tests.
 type Faults struct {
-	// CutFile names a file with lines "in ADDRESS" or "out ADDRESS"; frames
-	// from or to these peer addresses ("*" for all) are dropped silently while
-	// the file says so. Empty in production.
+	// CutFile names a file with lines "in ADDRESS" or "out ADDRESS". Frames from or to
+	// these peer addresses ("*" for all) are silently dropped while they are listed.
+	// Empty in production.
 	CutFile string `toml:"cut_file"`
 }
 
-// Experiment is for measurements only.
+// Experiment configures measurements.
 type Experiment struct {
 	// Baseline replaces the dispatcher by "round_robin" or "two_choices".
 	// Empty in production.
@@ -142,16 +141,16 @@
 	minSecretBytes      = 32
 )
 
-// Problem is one thing wrong with a settings file.
+// Problem is an error or warning about a key of a settings file.
 type Problem struct{ Key, Reason string }
 
-// Problems lists everything wrong with a settings file.
+// Problems is the error that lists all problems of a settings file.
 type Problems struct {
 	File string
 	List []Problem
 }
 
-// Error gives one line per problem.
+// Error returns one line per problem.
 func (p *Problems) Error() string {
 	lines := make([]string, len(p.List))
 	for i, x := range p.List {
@@ -160,7 +159,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -169,7 +168,7 @@
 	return Parse(file, data)
 }
 
-// Parse checks settings; file is used in messages.
+// Parse decodes and validates settings; file is the name used in messages.
 func Parse(file string, data []byte) (*Settings, error) {
 	var s Settings
 	dec := toml.NewDecoder(bytes.NewReader(data))
@@ -178,7 +177,7 @@
 		return nil, &Problems{file, decodeProblems(err)}
 	}
 	s.fillDefaults()
-	s.tune()
+	s.parseTuning()
 	if list := s.check(); len(list) > 0 {
 		return nil, &Problems{file, list}
 	}
@@ -195,10 +194,10 @@
 		}
 		return out
 	}
-	var de *toml.DecodeError
-	if errors.As(err, &de) {
-		row, col := de.Position()
-		return []Problem{{fmt.Sprintf("line %d, column %d", row, col), de.Error()}}
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		row, col := decodeErr.Position()
+		return []Problem{{fmt.Sprintf("line %d, column %d", row, col), decodeErr.Error()}}
 	}
 	return []Problem{{"toml", err.Error()}}
 }
@@ -215,7 +214,7 @@
 	}
 }
 
-// nameRE is for names that stand in bundles and commands.
+// nameRE matches names that may be used in bundles and commands.
 var nameRE = regexp.MustCompile(`^[a-z0-9][a-z0-9_.-]{0,63}$`)
 
 type checker struct{ list []Problem }
@@ -233,7 +232,7 @@
 
 func (s *Settings) check() []Problem {
 	if s.Routing.Enabled {
-		return s.checkRouted()
+		return s.checkWithRouting()
 	}
 	c := &checker{}
 	c.require(nameRE.MatchString(s.Instance.Name), "instance.name", "is required: lower-case letters, digits, '-', '_', '.'")
@@ -241,8 +240,8 @@
 	c.address("callers.address", s.Callers.Address)
 	c.require(s.Callers.MaxBodyBytes > 0 && s.Callers.MaxBodyBytes <= 64<<20, "callers.max_body_bytes", "must be 1 to 67108864")
 	c.require(s.Callers.AddressTTL.D() >= 100*time.Millisecond, "callers.address_ttl", "must be at least 100ms")
-	c.require(s.tuned.DrainTimeout > 0, "callers.drain_timeout", "must be above 0")
-	c.list = append(c.list, s.notices...)
+	c.require(s.tuning.DrainTimeout > 0, "callers.drain_timeout", "must be above 0")
+	c.list = append(c.list, s.warnings...)
 	s.checkPeers(c)
 	b := s.Experiment.Baseline
 	c.require(b == "" || b == "round_robin" || b == "two_choices", "experiment.baseline", "must be empty, \"round_robin\" or \"two_choices\"")
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `
+const valid = `
 [instance]
 name = "i1"
 availability_zone = "a"
@@ -23,8 +23,8 @@
 ana = "O2onvM62pC1io6jQKm8Nc2UyFXcd4kOmOsBIoYtZ2ik="
 `
 
-func TestGood(t *testing.T) {
-	s, err := Parse("x.toml", []byte(good))
+func TestValidSettings(t *testing.T) {
+	s, err := Parse("x.toml", []byte(valid))
 	if err != nil || s.Callers.MaxBodyBytes != DefaultMaxBody {
 		t.Fatalf("%v %+v", err, s)
 	}
@@ -39,20 +39,20 @@
 		`"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA`: "x.toml: peers.keys.secret",
 		`[instance]`:                          "x.toml: line 2",
 	} {
-		bad := map[string]string{`"127.0.0.1:7001"`: `"somewhere"`, `availability_zone = "a"`: "", `name = "i1"`: `nmae = "i1"`,
+		invalid := map[string]string{`"127.0.0.1:7001"`: `"somewhere"`, `availability_zone = "a"`: "", `name = "i1"`: `nmae = "i1"`,
 			`"127.0.0.2:7101"`: `"127.0.0.2:7101", "127.0.0.3:7101"`, `"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA`: `"`, `[instance]`: `[instance`}[old]
-		_, err := Parse("x.toml", []byte(strings.Replace(good, old, bad, 1)))
+		_, err := Parse("x.toml", []byte(strings.Replace(valid, old, invalid, 1)))
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v; want %q", old, err, want)
 		}
 	}
 	_, err := Parse("x.toml", []byte(""))
 	if err == nil || strings.Count(err.Error(), "\n") < 5 {
-		t.Errorf("an empty file: %v; want every problem at once", err)
+		t.Errorf("an empty file: %v; want all problems at once", err)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(valid)
 	f.Fuzz(func(t *testing.T, text string) { _, _ = Parse("x", []byte(text)) })
 }
