--- a/daemon/entry/attempt.go
+++ b/daemon/entry/attempt.go
@@ -54,7 +54,7 @@
 	// All attempts of all calls pass here, those of repeats and recorded calls included.
 	// Without this check, a request that crashes servers would crash one after another.
 	if left, held := x.entry.keeper.Held(x.call.requestDigest); held {
-		return errorReply(callErrorFor(http.StatusServiceUnavailable, api.ErrorRequestQuarantined, quarantine.KeptBack, x.mayHaveRun).withRetryAfter(left))
+		return errorReply(callErrorFor(http.StatusServiceUnavailable, api.ErrorRequestQuarantined, quarantine.HeldMessage, x.mayHaveRun).withRetryAfter(left))
 	}
 	t := x.call.ticket()
 	t.Attempt = n
@@ -78,7 +78,7 @@
 		x.reportBroken(failure, run)
 		return x.handleFailure(failure, grant.Server, n)
 	}
-	x.entry.keeper.Succeeded(run, x.call.requestDigest())
+	x.entry.keeper.RecordSuccess(run, x.call.requestDigest())
 	return rep
 }
 
@@ -86,7 +86,7 @@
 func (x *execution) reportBroken(f *backend.CallError, r quarantine.Run) {
 	if f.Failure == retry.FailureUncertain && f.Status == 0 && x.run.Err() == nil {
 		r.Reached = f.Reached
-		x.entry.keeper.Broke(r, x.call.requestDigest())
+		x.entry.keeper.RecordBroken(r, x.call.requestDigest())
 	}
 }
 
@@ -134,7 +134,7 @@
 	}
 	x.excluded = append(x.excluded, server)
 	sleep(x.run, retry.Backoff(n+1, rand.Float64()))
-	x.entry.keeper.AwaitRuling(x.run, x.call.requestDigest) // if the context ends, so does the next attempt
+	x.entry.keeper.AwaitDecision(x.run, x.call.requestDigest) // if the context ends, so does the next attempt
 	return nil
 }
 
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -47,7 +47,7 @@
 	Replicas  *replica.Client
 	Metrics   *telemetry.Metrics
 	// Quarantine decides which requests are withheld from the servers.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Manager
 	// BroadcastAnnouncements forwards announcements to every instance, as the
 	// baselines require.
 	BroadcastAnnouncements bool
@@ -65,7 +65,7 @@
 	scheduler   Slots
 	replicas    *replica.Client
 	metrics     *telemetry.Metrics
-	keeper      *quarantine.Keeper
+	keeper      *quarantine.Manager
 	owner       string
 	broadcast   bool
 	ignoreTiers bool
--- a/daemon/routed.go
+++ b/daemon/routed.go
@@ -71,8 +71,8 @@
 	directory *replica.Directory
 	watch     *control.Watch
 	control   *control.Service
-	keeper    *quarantine.Keeper
-	teller    *usage.Teller
+	keeper    *quarantine.Manager
+	teller    *usage.Reporter
 	orderer   *capacity.Orderer
 	runners   []*duties.Runner
 	router    *router.Router
@@ -96,9 +96,9 @@
 	d.gossip = gossip.New(d.transport, self, seeds)
 	d.directory = replica.NewSeedDirectory(seeds, s.Replicas.Bootstrap)
 	client := replica.NewClient(d.transport, d.directory)
-	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Judges: d.gossip.Entries, Log: client})
+	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Evaluators: d.gossip.Entries, Log: client})
 	d.services = append(d.services, d.keeper)
-	if settings.On(s.Usage.Record) {
+	if settings.Enabled(s.Usage.Record) {
 		d.addTeller(client)
 	}
 	if s.Instance.DataFolder != "" {
@@ -160,7 +160,7 @@
 
 func (d *Routed) addEntry(a Adapter, client *replica.Client) error {
 	r := d.settings.Routing
-	tuned := d.settings.Tuned()
+	tuned := d.settings.Tuning()
 	d.router = router.New(router.Options{Protocol: a, Name: d.settings.Instance.Name,
 		Table:   func() *routing.Table { return d.watch.Table() },
 		Entries: func() int { return len(d.gossip.Entries()) },
@@ -169,11 +169,11 @@
 	// A client of its own: the one that finds the leader for other calls would lead the
 	// watch back to it.
 	d.watch = control.NewWatch(d.transport, replica.NewClient(d.transport, d.directory), d.takeTable, d.takeFleet)
-	d.watch.OnQuarantineDecisions(d.keeper.TakeRulings)
+	d.watch.OnQuarantineDecisions(d.keeper.MergeDecisions)
 	self := collect.Member{Name: d.settings.Instance.Name, Zone: d.settings.Instance.AvailabilityZone, Address: d.settings.Peers.Address}
 	exchange := router.NewExchange(d.router, d.transport, self, d.collectMembers)
 	if d.teller != nil {
-		d.teller.OnDemands(d.router.Demands)
+		d.teller.SetDemands(d.router.Demands)
 	}
 	d.services = append(d.services, d.watch, exchange)
 	if err := d.listen("callers' listener", d.settings.Callers.Address, d.router, idleTimeout); err != nil {
@@ -270,7 +270,7 @@
 		return nil
 	}
 	began := time.Now()
-	cutOff := began.Add(time.Duration(drainShare * float64(d.settings.Tuned().DrainTimeout)))
+	cutOff := began.Add(time.Duration(drainShare * float64(d.settings.Tuning().DrainTimeout)))
 	log.WithField("in_flight", d.router.InFlight()).Info("draining")
 	time.Sleep(staleTTLs * d.TTL())
 	d.router.Drain(cutOff)
--- a/daemon/router/call.go
+++ b/daemon/router/call.go
@@ -113,7 +113,7 @@
 			c.giveUp("attempts used up")
 			return
 		}
-		if result == failed && !(c.backoff(ctx) && c.router.opt.Quarantine.AwaitRuling(ctx, c.digest)) {
+		if result == failed && !(c.backoff(ctx) && c.router.opt.Quarantine.AwaitDecision(ctx, c.digest)) {
 			c.giveUp("time is over")
 			return
 		}
--- a/daemon/router/request.go
+++ b/daemon/router/request.go
@@ -65,12 +65,14 @@
 	if e.MayHaveRun && (startedAgain || ctx.Err() == nil && isConnectionError(e)) {
 		run := c.run(s)
 		run.Reached = e.Reached
-		c.router.opt.Quarantine.Broke(run, c.digest())
+		c.router.opt.Quarantine.RecordBroken(run, c.digest())
 	}
 }
 
 // reportSuccess reports an answered run to the quarantine.
-func (c *call) reportSuccess(s fleet.Server) { c.router.opt.Quarantine.Succeeded(c.run(s), c.digest()) }
+func (c *call) reportSuccess(s fleet.Server) {
+	c.router.opt.Quarantine.RecordSuccess(c.run(s), c.digest())
+}
 
 // run describes the call's last attempt to the quarantine.
 func (c *call) run(s fleet.Server) keeper.Run {
@@ -83,7 +85,7 @@
 	left, held := c.router.opt.Quarantine.Held(c.digest)
 	if held {
 		c.retryAfter = left
-		c.giveUp(keeper.KeptBack)
+		c.giveUp(keeper.HeldMessage)
 	}
 	return held
 }
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -48,7 +48,7 @@
 	Usage Usage
 	// Quarantine decides which requests are withheld from the servers; nil selects a
 	// new one.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Manager
 }
 
 // Usage counts the runs that servers begin.
@@ -136,7 +136,7 @@
 // cancelSuperseded cancels the attempts at servers that have restarted.
 func (r *Router) cancelSuperseded(before, now []fleet.Server) {
 	for _, s := range superseded(before, now) {
-		r.opt.Quarantine.Ended(s.ID)
+		r.opt.Quarantine.ReportReplaced(s.ID)
 		cancelled := r.attempts.cancelAll(s.ID)
 		log.WithFields(log.Fields{"step": "take fleet", "server": s.ID, "pool": s.Pool, "in_flight": cancelled}).Info("server has started again; the state of its previous start is discarded")
 	}
