--- a/daemon/internal/testport/testport.go
+++ b/daemon/internal/testport/testport.go
@@ -1,4 +1,4 @@
-// Package testport gives tests addresses to listen on later.
+// Package testport reserves addresses for tests to listen on.
 package testport
 
 import (
@@ -8,44 +8,43 @@
 	"testing"
 )
 
-// Ports below those that the system gives to connections and to listeners that ask for
-// any port, on Linux from 32768 by default.
+// Reserved ports are below the ephemeral range, which Linux starts at 32768 by default.
 const (
-	lowest = 10000
-	beyond = 32000
-	// mostTries bounds the search; tests reserve a handful of the 22,000 ports.
-	mostTries = 200
+	firstPort = 10000
+	endPort   = 32000
+	// maxAttempts limits the search; tests reserve only a few of the 22,000 ports.
+	maxAttempts = 200
 )
 
-// Reserve returns a loopback address that is the test's own until it ends: nobody
-// listens there, and neither this process nor another that reserves gets the same.
-// A port that was merely free a moment ago may be somebody else's when the test comes
-// to listen on it, and instances with the same keys then talk to the wrong one.
+// Reserve returns a loopback address on which nothing listens, and which no other call of
+// Reserve, in this or another process, returns until the test ends. A port that was merely
+// free a moment ago may be taken before the test listens on it; instances of different tests
+// that have the same keys would then connect to each other.
 func Reserve(t testing.TB) string {
 	t.Helper()
-	for range mostTries {
-		address := fmt.Sprintf("127.0.0.1:%d", lowest+rand.IntN(beyond-lowest))
+	for range maxAttempts {
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(endPort-firstPort))
 		if reserve(t, address) {
 			return address
 		}
 	}
-	t.Fatalf("no free port in %d tries", mostTries)
+	t.Fatalf("no free port in %d tries", maxAttempts)
 	return ""
 }
 
-// reserve reports whether the address is free for TCP and takes it for UDP, which none
-// of our instances uses.
+// reserve reports whether the address is free for TCP. It reserves it by binding the same UDP
+// port, which no instance uses.
 func reserve(t testing.TB, address string) bool {
-	held, err := net.ListenPacket("udp", address)
+	reservation, err := net.ListenPacket("udp", address)
 	if err != nil {
-		return false // another test's
+		return false // reserved by another test
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		held.Close()
-		return false // some program's
+		reservation.Close()
+		return false // in use by another program
 	}
 	l.Close()
-	t.Cleanup(func() { held.Close() })
+	t.Cleanup(func() { reservation.Close() })
 	return true
 }
--- a/daemon/loop/loop.go
+++ b/daemon/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop holds the periodic loop that most supervised services are.
+// Package loop provides the periodic loop of supervised services.
 package loop
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Every calls f once per period until the context ends, and returns the
-// context's error. A slow f delays the next call; none is made up for.
+// Every calls f once per period until the context ends, and returns the context's error.
+// A slow f delays the next call; missed calls are not made up for.
 func Every(ctx context.Context, period time.Duration, f func(now time.Time)) error {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/daemon/storage/storage.go
+++ b/daemon/storage/storage.go
@@ -1,8 +1,7 @@
-// Package storage keeps a replica's state under its data folder: an identity
-// made once with the folder, a write-ahead log of the consensus state in
-// segments, and the latest snapshot. Nothing counts before it is synced; a
-// failed write or sync makes the store unusable, since what the disk holds is
-// then unknown.
+// Package storage persists a replica's state in its data folder: an identity, created once
+// with the folder, a segmented write-ahead log of the consensus state, and the latest
+// snapshot. A record is durable only once it is synced. After a failed write or sync the
+// store is unusable, since the content of the disk is then unknown.
 package storage
 
 import (
@@ -26,34 +25,34 @@
 
 // Errors of the store.
 var (
-	// ErrCorrupt: a record before the end of the log is damaged. The replica
-	// must not start: it may have voted or acknowledged what is lost. Move the
+	// ErrCorrupt means that a record before the end of the log is damaged. The replica must
+	// not start, since it may have lost a vote or an acknowledged entry. To recover, move the
 	// data folder away; the replica then joins as a new member.
 	ErrCorrupt = eris.New("write-ahead log is damaged before its end")
-	// ErrFailed: an earlier write or sync failed.
+	// ErrFailed means that an earlier write or sync failed.
 	ErrFailed = eris.New("storage has failed before; restart the replica")
 )
 
-// Names and bounds on disk.
+// File names and limits.
 const (
-	identityFile = "identity"
-	snapshotFile = "snapshot"
-	segmentGlob  = "wal-*.log"
-	headerBytes  = 8
-	maxRecord    = 64 << 20
-	// SegmentBytes is the size after which a new segment is begun at the next
-	// snapshot.
+	identityFile   = "identity"
+	snapshotFile   = "snapshot"
+	segmentGlob    = "wal-*.log"
+	headerBytes    = 8
+	maxRecordBytes = 64 << 20
+	// SegmentBytes is the segment size above which the replica saves a snapshot, which
+	// starts a new segment.
 	SegmentBytes = 4 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Identity names a replica and the group that it belongs to.
+// Identity identifies a replica and the group that it belongs to.
 type Identity struct {
-	// ID is drawn when the folder is made, so that an empty disk is never
-	// taken for the replica that stood there before.
+	// ID is a random number from the creation of the folder. A replica that restarts with
+	// an empty disk has another one, and does not count as the former member.
 	ID uint64 `msgpack:"i"`
-	// Group is 0 until the replica belongs to one.
+	// Group is 0 until the replica has joined a group.
 	Group uint64 `msgpack:"g"`
 }
 
@@ -63,14 +62,14 @@
 	Entries []raft.Entry    `msgpack:"e,omitempty"`
 }
 
-// File is what the store needs of an open file; tests make it fail.
+// File is the part of *os.File that the store uses; tests inject failures.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Store is an open data folder. Not safe for concurrent use.
+// Store is an open data folder. It is not safe for concurrent use.
 type Store struct {
 	dir      string
 	identity Identity
@@ -78,16 +77,17 @@
 	number   uint64
 	size     int64
 	failed   bool
-	// CreateFile opens a new file for writing.
+	// createFile creates a file and opens it for writing.
 	createFile func(path string) (File, error)
 }
 
-// Loaded is what a folder held.
+// Loaded is the content of a folder when it was opened.
 type Loaded struct {
 	State    raft.HardState
 	Snapshot raft.Snapshot
 	Entries  []raft.Entry
-	// TornBytes were cut off the end of the log: a write that was not synced.
+	// TornBytes is the length of an incomplete record, never synced, that was truncated from
+	// the end of the log.
 	TornBytes int64
 }
 
@@ -95,10 +95,10 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_EXCL, 0o600)
 }
 
-// Open opens or makes a data folder.
+// Open opens a data folder, which it creates if necessary.
 func Open(dir string) (*Store, *Loaded, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, nil, eris.Wrap(err, "make data folder")
+		return nil, nil, eris.Wrap(err, "create data folder")
 	}
 	s := &Store{dir: dir, createFile: createOSFile}
 	if err := s.loadIdentity(); err != nil {
@@ -117,7 +117,7 @@
 func (s *Store) loadIdentity() error {
 	data, err := os.ReadFile(filepath.Join(s.dir, identityFile))
 	if errors.Is(err, os.ErrNotExist) {
-		return s.makeIdentity()
+		return s.createIdentity()
 	}
 	if err != nil {
 		return eris.Wrap(err, "read identity")
@@ -129,14 +129,15 @@
 	return eris.Wrap(wire.Decode(body, &s.identity), "decode identity")
 }
 
-// makeIdentity refuses a folder that has a log but lost its identity.
-func (s *Store) makeIdentity() error {
+// createIdentity writes a new identity. It refuses a folder that has a log, whose identity
+// file must have been lost.
+func (s *Store) createIdentity() error {
 	if segments, _ := s.segments(); len(segments) > 0 {
 		return eris.Wrap(ErrCorrupt, "identity file is missing")
 	}
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
-		return eris.Wrap(err, "draw identity")
+		return eris.Wrap(err, "generate identity")
 	}
 	return s.writeIdentity(Identity{ID: binary.BigEndian.Uint64(raw[:]) | 1})
 }
@@ -146,14 +147,14 @@
 	if err != nil {
 		return err
 	}
-	if err := s.writeFile(identityFile, frameRecord(data)); err != nil {
+	if err := s.writeFile(identityFile, encodeRecord(data)); err != nil {
 		return eris.Wrap(err, "write identity")
 	}
 	s.identity = id
 	return nil
 }
 
-// Join makes the folder part of a group with a first snapshot.
+// Join saves the first snapshot from a group and makes the replica a part of it.
 func (s *Store) Join(group uint64, first raft.Snapshot) error {
 	if err := s.SaveSnapshot(first, raft.HardState{Term: first.Meta.Term, Commit: first.Meta.Index}, nil); err != nil {
 		return err
@@ -161,8 +162,8 @@
 	return s.writeIdentity(Identity{ID: s.identity.ID, Group: group})
 }
 
-// writeFile replaces a file so that either the old or the new content stands
-// after a crash.
+// writeFile replaces a file atomically: after a crash it has either the old or the new
+// content.
 func (s *Store) writeFile(name string, data []byte) error {
 	tmp := filepath.Join(s.dir, name+".tmp")
 	os.Remove(tmp)
@@ -196,23 +197,24 @@
 	return d.Sync()
 }
 
-func frameRecord(body []byte) []byte {
+// encodeRecord returns a record: length and CRC-32C checksum of the body, then the body.
+func encodeRecord(body []byte) []byte {
 	out := make([]byte, headerBytes, headerBytes+len(body))
 	binary.BigEndian.PutUint32(out[:4], uint32(len(body)))
 	binary.BigEndian.PutUint32(out[4:8], crc32.Checksum(body, castagnoli))
 	return append(out, body...)
 }
 
-// errTorn: the bytes end within a record.
+// errTorn means that the data ends within a record.
 var errTorn = errors.New("torn record")
 
-// parseRecord returns the first record of data and its whole length.
+// parseRecord returns the body of the first record of data, and the length of the record.
 func parseRecord(data []byte) (body []byte, n int, err error) {
 	if len(data) < headerBytes {
 		return nil, 0, errTorn
 	}
 	size := binary.BigEndian.Uint32(data[:4])
-	if size > maxRecord {
+	if size > maxRecordBytes {
 		return nil, 0, ErrCorrupt
 	}
 	n = headerBytes + int(size)
@@ -275,8 +277,8 @@
 	return nil
 }
 
-// loadSegment replays one segment. Only the very last record of the last
-// segment may be torn: it was never synced, hence never acknowledged.
+// loadSegment replays a segment. Only the last record of the last segment may be torn: it
+// was never synced and therefore never acknowledged.
 func (s *Store) loadSegment(name string, last bool, l *Loaded) error {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -291,19 +293,19 @@
 			off += n
 			continue
 		}
-		if !last || wholeRecordFollows(data[off:], n) {
+		if !last || validRecordFollows(data[off:], n) {
 			return eris.Wrapf(ErrCorrupt, "%s at byte %d", filepath.Base(name), off)
 		}
 		l.TornBytes = int64(len(data) - off)
-		return s.cut(name, int64(off))
+		return s.truncate(name, int64(off))
 	}
 	return nil
 }
 
-// wholeRecordFollows reports whether a good record stands behind a bad one of n
-// bytes. Each record is synced before the next is written, so that a write torn
-// by a power loss, whatever it left behind, is never followed by another one.
-func wholeRecordFollows(rest []byte, n int) bool {
+// validRecordFollows reports whether a valid record follows an invalid one of n bytes. Each
+// record is synced before the next one is written, so that a write torn by a power loss is
+// never followed by another record, whatever it left on the disk.
+func validRecordFollows(rest []byte, n int) bool {
 	if n <= headerBytes || n >= len(rest) {
 		return false
 	}
@@ -311,18 +313,20 @@
 	return err == nil && len(body) > 0
 }
 
-func (s *Store) cut(name string, size int64) error {
+// truncate removes a torn record from the end of a segment.
+func (s *Store) truncate(name string, size int64) error {
 	f, err := os.OpenFile(name, os.O_WRONLY, 0)
 	if err != nil {
-		return eris.Wrap(err, "cut torn record")
+		return eris.Wrap(err, "truncate torn record")
 	}
 	defer f.Close()
 	if err := f.Truncate(size); err != nil {
-		return eris.Wrap(err, "cut torn record")
+		return eris.Wrap(err, "truncate torn record")
 	}
-	return eris.Wrap(f.Sync(), "cut torn record")
+	return eris.Wrap(f.Sync(), "truncate torn record")
 }
 
+// replay applies a record of the log. An entry replaces all entries from its index on.
 func (l *Loaded) replay(body []byte) error {
 	var r record
 	if err := wire.Decode(body, &r); err != nil {
@@ -349,14 +353,14 @@
 	path := filepath.Join(s.dir, "wal-"+leftPad(s.number)+".log")
 	f, err := s.createFile(path)
 	if err != nil {
-		return eris.Wrap(err, "begin log segment")
+		return eris.Wrap(err, "create log segment")
 	}
 	if s.segment != nil {
 		s.segment.Close()
 	}
 	s.segment = f
 	s.size = 0
-	return eris.Wrap(s.syncDir(), "begin log segment")
+	return eris.Wrap(s.syncDir(), "create log segment")
 }
 
 func leftPad(n uint64) string {
@@ -364,8 +368,8 @@
 	return strings.Repeat("0", 20-len(d)) + d
 }
 
-// Append persists consensus state and entries: when it returns without an
-// error, they are synced.
+// Append persists consensus state and entries. They are synced when it returns without an
+// error.
 func (s *Store) Append(state *raft.HardState, entries []raft.Entry) error {
 	if s.failed {
 		return ErrFailed
@@ -374,7 +378,7 @@
 	if err != nil {
 		return eris.Wrap(err, "encode log record")
 	}
-	framed := frameRecord(data)
+	framed := encodeRecord(data)
 	if _, err := s.segment.Write(framed); err != nil {
 		s.failed = true
 		return eris.Wrap(err, "write log record")
@@ -387,8 +391,8 @@
 	return nil
 }
 
-// SaveSnapshot replaces the snapshot, then begins a new segment that holds the
-// state and the entries after the snapshot, and removes the older ones.
+// SaveSnapshot replaces the snapshot, starts a new segment with the state and the entries
+// after the snapshot, and removes the older segments.
 func (s *Store) SaveSnapshot(snap raft.Snapshot, state raft.HardState, after []raft.Entry) error {
 	if s.failed {
 		return ErrFailed
@@ -401,7 +405,7 @@
 	if err != nil {
 		return eris.Wrap(err, "list log segments")
 	}
-	if err := s.writeFile(snapshotFile, frameRecord(data)); err != nil {
+	if err := s.writeFile(snapshotFile, encodeRecord(data)); err != nil {
 		s.failed = true
 		return eris.Wrap(err, "write snapshot")
 	}
@@ -418,9 +422,9 @@
 	return eris.Wrap(s.syncDir(), "remove old segments")
 }
 
-// Rewrite puts everything that was loaded into a new segment and syncs it. After
-// a failed write or sync, what the folder seems to hold may not be on the disk
-// yet; after Rewrite it is.
+// Rewrite writes the loaded state and entries to a new synced segment. After a failed write
+// or sync, data that was read back may come from the page cache and not be on the disk;
+// Rewrite makes it durable.
 func (s *Store) Rewrite(l *Loaded) error {
 	old, err := s.segments()
 	if err != nil {
@@ -438,7 +442,7 @@
 	return eris.Wrap(s.syncDir(), "remove old segments")
 }
 
-// Size returns the bytes in the current segment.
+// Size returns the number of bytes in the current segment.
 func (s *Store) Size() int64 { return s.size }
 
 // Close closes the current segment.
--- a/daemon/storage/storage_test.go
+++ b/daemon/storage/storage_test.go
@@ -13,8 +13,8 @@
 	return raft.Entry{Index: i, Term: 1, Data: []byte{byte(i), 1, 2, 3, 4, 5, 6, 7}}
 }
 
-// filled opens a folder and appends entries 1 to n, one record each.
-func filled(t *testing.T, n uint64) (dir string) {
+// createLog creates a data folder whose log has the entries 1 to n, one record each.
+func createLog(t *testing.T, n uint64) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	s, _, err := Open(dir)
@@ -40,7 +40,7 @@
 }
 
 func TestReopen(t *testing.T) {
-	dir := filled(t, 5)
+	dir := createLog(t, 5)
 	s, l, err := Open(dir)
 	if err != nil || len(l.Entries) != 5 || l.State.Commit != 5 {
 		t.Fatalf("%v, %d entries, state %+v", err, len(l.Entries), l.State)
@@ -57,10 +57,9 @@
 	}
 }
 
-// TestEveryTornTail cuts the log at every length: what was whole is kept, the
-// torn record goes.
+// A log truncated at any length must keep its complete records and lose the torn one.
 func TestEveryTornTail(t *testing.T) {
-	dir := filled(t, 3)
+	dir := createLog(t, 3)
 	name := onlySegment(t, dir)
 	whole, _ := os.ReadFile(name)
 	record := len(whole) / 3
@@ -78,13 +77,13 @@
 		}
 		s.Close()
 		if _, l, err = Open(copied); err != nil || len(l.Entries) != size/record+1 {
-			t.Fatalf("append behind a cut at %d: %v", size, err)
+			t.Fatalf("append after a cut at %d: %v", size, err)
 		}
 	}
 }
 
-func TestDamageStopsTheReplica(t *testing.T) {
-	dir := filled(t, 3)
+func TestDamagedFolderIsRefused(t *testing.T) {
+	dir := createLog(t, 3)
 	name := onlySegment(t, dir)
 	data, _ := os.ReadFile(name)
 	data[len(data)/2] ^= 0x40
@@ -92,20 +91,20 @@
 	if _, _, err := Open(dir); !errors.Is(err, ErrCorrupt) {
 		t.Fatalf("damage in the middle: %v", err)
 	}
-	dir = filled(t, 3)
+	dir = createLog(t, 3)
 	os.Remove(filepath.Join(dir, identityFile))
 	if _, _, err := Open(dir); !errors.Is(err, ErrCorrupt) {
 		t.Fatalf("a log without its identity: %v", err)
 	}
 }
 
-// badDisk fails the n-th sync.
-type badDisk struct {
+// failingFile fails every sync once the count has run down.
+type failingFile struct {
 	File
 	left *int
 }
 
-func (b badDisk) Sync() error {
+func (b failingFile) Sync() error {
 	if *b.left--; *b.left <= 0 {
 		return errors.New("input/output error")
 	}
@@ -119,7 +118,7 @@
 		t.Fatal(err)
 	}
 	left := 3
-	s.segment = badDisk{s.segment, &left}
+	s.segment = failingFile{s.segment, &left}
 	for i := uint64(1); i <= 2; i++ {
 		if err := s.Append(nil, []raft.Entry{entry(i)}); err != nil {
 			t.Fatal(err)
@@ -154,9 +153,9 @@
 	})
 }
 
-// After a power loss the last write may have left a length without its bytes,
-// zeros, or anything else. It was never acknowledged.
-func TestTornEndOfAnyKindIsCutOff(t *testing.T) {
+// After a power loss, the end of the log may be an incomplete record, zeros or arbitrary
+// bytes. That write was never acknowledged, and must be truncated.
+func TestTornEndOfAnyKindIsTruncated(t *testing.T) {
 	for name, rest := range map[string][]byte{"zeros": make([]byte, 40), "a huge length": {0xff, 0xff, 0xff, 0xff, 1, 2, 3, 4, 5},
 		"half a header": {0, 0, 0}, "a wrong checksum": {0, 0, 0, 2, 9, 9, 9, 9, 1, 2}, "a wrong checksum and zeros": append([]byte{0, 0, 0, 2, 9, 9, 9, 9, 1, 2}, make([]byte, 30)...)} {
 		dir := t.TempDir()
@@ -177,7 +176,7 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		for range 2 { // the second start finds a clean log
+		for range 2 { // the second open reads the truncated log
 			s, l, err := Open(dir)
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
@@ -190,8 +189,8 @@
 	}
 }
 
-// After a failed write the folder is opened again; what it holds is written
-// anew, since the failed sync left open what the disk has.
+// After a failed write or sync, the folder is opened again and its content is rewritten,
+// since it is unknown which part of it is on the disk.
 func TestRewriteKeepsEverything(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir)
