--- a/daemon/admin/admin.go
+++ b/daemon/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the operators: signed orders, and signed reads of the
-// group, the instances, the backend servers and the audit trail.
+// Package admin implements the operators' HTTP API: signed orders, and signed reads of the
+// replica group, the instances, the backend servers and the audit trail.
 package admin
 
 import (
@@ -25,26 +25,26 @@
 )
 
 const (
-	methodInfo   = "admin.info"
-	fanOutWait   = time.Second
-	orderTimeout = 5 * time.Second
+	methodInfo    = "admin.info"
+	fanOutTimeout = time.Second
+	orderTimeout  = 5 * time.Second
 )
 
-// Admin handles operators' requests.
+// Admin handles the requests of operators.
 type Admin struct {
 	Settings  *settings.Settings
 	Holder    *lease.Holder
 	Gossip    *gossip.Service
 	Replicas  *replica.Client
 	Transport *frame.Transport
-	// Own describes this instance.
-	Own func() api.InstanceInfo
+	// LocalInfo returns the description of this instance.
+	LocalInfo func() api.InstanceInfo
 }
 
-// Register adds the frame handler.
+// Register registers the handler through which other instances read this one's description.
 func (a *Admin) Register() {
 	a.Transport.HandleRequest(methodInfo, func(context.Context, string, []byte) (any, error) {
-		i := a.Own()
+		i := a.LocalInfo()
 		return &i, nil
 	})
 }
@@ -55,6 +55,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// operators returns the operators of the bundle in force, or those of the settings before
+// there is one.
 func (a *Admin) operators() map[string]bundle.Operator {
 	if b := a.Holder.Config().Bundle; b != nil {
 		return b.Operators
@@ -66,7 +68,7 @@
 	return out
 }
 
-// Signed lets only operators' signed reads through.
+// Signed wraps a handler so that it serves only reads signed by an operator.
 func (a *Admin) Signed(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := bundle.VerifyRead(r, a.operators(), time.Now()); err != nil {
@@ -78,7 +80,7 @@
 	}
 }
 
-// Order takes a signed order. It is safe to send again.
+// Order proposes a signed order to the replicas. An operator may safely send it again.
 func (a *Admin) Order(w http.ResponseWriter, r *http.Request) {
 	var o bundle.SignedOrder
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 2*bundle.MaxBytes)).Decode(&o); err != nil {
@@ -112,7 +114,7 @@
 	return http.StatusUnprocessableEntity
 }
 
-// Status returns the replica group's state.
+// Status returns the state of the replica group.
 func (a *Admin) Status(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), orderTimeout)
 	defer cancel()
@@ -124,7 +126,7 @@
 	writeJSON(w, http.StatusOK, st)
 }
 
-// Audit returns a page of the audit trail behind ?after=.
+// Audit returns the page of the audit trail that follows the sequence number ?after=.
 func (a *Admin) Audit(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -153,7 +155,7 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// Instances asks every instance about itself.
+// Instances returns the descriptions of all instances, which it asks concurrently.
 func (a *Admin) Instances(w http.ResponseWriter, r *http.Request) {
 	list := a.Gossip.Instances()
 	out := make([]api.InstanceInfo, len(list))
@@ -166,8 +168,9 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
+// fanOut calls f concurrently for every instance and waits for all calls.
 func (a *Admin) fanOut(ctx context.Context, list []membership.Instance, f func(context.Context, int, membership.Instance)) {
-	ctx, cancel := context.WithTimeout(ctx, fanOutWait)
+	ctx, cancel := context.WithTimeout(ctx, fanOutTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for k, i := range list {
@@ -176,12 +179,12 @@
 	wg.Wait()
 }
 
-// Servers lists the backend servers as their pools' dispatchers see them.
+// Servers returns the backend servers as their pools' dispatchers see them.
 func (a *Admin) Servers(w http.ResponseWriter, r *http.Request) {
 	writeJSON(w, http.StatusOK, a.ServerList(r.Context()))
 }
 
-// ServerList asks the dispatchers for their backend servers.
+// ServerList returns the backend servers of each pool from the instance that dispatches it.
 func (a *Admin) ServerList(ctx context.Context) []api.ServerEntry {
 	list := a.Gossip.Instances()
 	replies := make([]dispatcher.ViewReply, len(list))
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -92,7 +92,7 @@
 	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Judges: d.gossip.Entries})
 	d.entry = entry.New(entry.Options{Settings: s, Holder: d.holder, Gossip: d.gossip, Scheduler: d.slots,
 		Replicas: d.replicas, Metrics: d.metrics, Quarantine: d.keeper, Owner: self.Owner(), BroadcastAnnouncements: experiment, IgnoreTiers: experiment})
-	d.admin = &admin.Admin{Settings: s, Holder: d.holder, Gossip: d.gossip, Replicas: d.replicas, Transport: d.transport, Own: d.info}
+	d.admin = &admin.Admin{Settings: s, Holder: d.holder, Gossip: d.gossip, Replicas: d.replicas, Transport: d.transport, LocalInfo: d.info}
 	d.admin.Register()
 	d.placement = &placement.Service{Owner: self.Owner(), Gossip: d.gossip, Holder: d.holder, Replicas: d.replicas, Servers: d.admin.ServerList}
 	d.registerGauges()
--- a/daemon/telemetry/metrics.go
+++ b/daemon/telemetry/metrics.go
@@ -1,5 +1,5 @@
-// Package telemetry counts what an instance does, per class, for the metrics
-// page. Names follow the text format that VictoriaMetrics/metrics writes.
+// Package telemetry holds an instance's metrics, which it writes in the Prometheus text
+// format.
 package telemetry
 
 import (
@@ -13,16 +13,16 @@
 	"cardamomwick.example/core/state"
 )
 
-// Metrics holds an instance's own metric set.
+// Metrics is the metric set of an instance.
 type Metrics struct{ set *metrics.Set }
 
-// New returns an empty set.
+// New returns an empty metric set.
 func New() *Metrics { return &Metrics{metrics.NewSet()} }
 
-// Gauge registers a value that is read when the page is asked for.
+// Gauge registers a gauge whose value f returns whenever the metrics are written.
 func (m *Metrics) Gauge(name string, f func() float64) { m.set.NewGauge(name, f) }
 
-// Call is one finished call.
+// Call is a finished call of a class.
 type Call struct {
 	Class      string
 	Policy     bundle.Class
@@ -33,9 +33,10 @@
 	Tokens     int
 }
 
-func name(metric, class string) string { return fmt.Sprintf("%s{class=%q}", metric, class) }
+// classMetric returns the name of a metric with its class label.
+func classMetric(metric, class string) string { return fmt.Sprintf("%s{class=%q}", metric, class) }
 
-// Call counts a finished call, and whether it met its targets.
+// Call records a finished call, and whether it met the targets of its class.
 func (m *Metrics) Call(c Call) {
 	if c.Class == "" {
 		c.Class = "none"
@@ -44,40 +45,41 @@
 	if c.Refused {
 		return
 	}
-	m.set.GetOrCreateHistogram(name("cardamomwick_first_token_seconds", c.Class)).Update(c.FirstToken.Seconds())
-	m.set.GetOrCreateHistogram(name("cardamomwick_total_seconds", c.Class)).Update(c.Total.Seconds())
-	m.set.GetOrCreateCounter(name("cardamomwick_output_tokens_total", c.Class)).Add(c.Tokens)
+	m.set.GetOrCreateHistogram(classMetric("cardamomwick_first_token_seconds", c.Class)).Update(c.FirstToken.Seconds())
+	m.set.GetOrCreateHistogram(classMetric("cardamomwick_total_seconds", c.Class)).Update(c.Total.Seconds())
+	m.set.GetOrCreateCounter(classMetric("cardamomwick_output_tokens_total", c.Class)).Add(c.Tokens)
 	if c.Policy.Attained(c.FirstToken, c.Total, c.Tokens) {
-		m.set.GetOrCreateCounter(name("cardamomwick_attained_total", c.Class)).Inc()
-		m.set.GetOrCreateCounter(name("cardamomwick_goodput_tokens_total", c.Class)).Add(c.Tokens)
+		m.set.GetOrCreateCounter(classMetric("cardamomwick_attained_total", c.Class)).Inc()
+		m.set.GetOrCreateCounter(classMetric("cardamomwick_goodput_tokens_total", c.Class)).Add(c.Tokens)
 	}
 }
 
-// Abandoned counts tokens whose caller was gone before the end.
+// Abandoned counts the output tokens of a call whose caller left before the end.
 func (m *Metrics) Abandoned(class string, tokens int) {
-	m.set.GetOrCreateCounter(name("cardamomwick_abandoned_tokens_total", class)).Add(tokens)
+	m.set.GetOrCreateCounter(classMetric("cardamomwick_abandoned_tokens_total", class)).Add(tokens)
 }
 
-// Write writes the page.
+// Write writes all metrics, including those of the process.
 func (m *Metrics) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-// RoutedCall is one finished call on a declared route.
+// RoutedCall is a finished call on a declared route.
 type RoutedCall struct {
 	Route, Customer string
-	// Status is what the caller got; zero when it left or the stream broke.
+	// Status is the HTTP status that the caller received, zero if the caller left or the
+	// stream broke.
 	Status int
-	// Reason is empty for a server's answer.
+	// Reason is why the call has no answer from a server, empty if it has one.
 	Reason   string
 	Attempts int
-	// First is the time to the answer, or to a stream's first event; zero without
-	// one.
+	// First is the time to the answer or to the first event of a stream, zero if there was
+	// none.
 	First time.Duration
 }
 
-// Routed counts a finished call on a declared route.
+// Routed records a finished call on a declared route.
 func (m *Metrics) Routed(c RoutedCall) {
 	if c.Route == "" {
 		c.Route = "none"
