--- a/cmd/cardamomctl/main.go
+++ b/cmd/cardamomctl/main.go
@@ -1,4 +1,4 @@
-// Command cardamomctl is the operators' and developers' tool.
+// Command cardamomctl is the command-line tool of operators and developers.
 package main
 
 import (
--- a/cmd/cardamomwickd/main.go
+++ b/cmd/cardamomwickd/main.go
@@ -17,7 +17,7 @@
 	"cardamomwick.example/platform"
 )
 
-// gcPercent trades some processor time for memory: the instances are small.
+// gcPercent trades processor time for memory, since instances run on small machines.
 const gcPercent = 50
 
 // Exit codes.
@@ -30,11 +30,11 @@
 	cmd := &cli.Command{
 		Name:  "cardamomwickd",
 		Usage: "route language-model traffic by service levels and priorities",
-		Description: "Runs one instance. Which role it has follows from its settings: with a data folder it is\n" +
-			"also a replica of the durable state; with [routing] it serves declared routes on a platform.\n" +
-			"SIGHUP, and any change of the file, reads seeds, frame keys and log level again.\n" +
-			"SIGTERM drains and stops it without cutting a call off.\n\n" +
-			"Exit codes: 0 stopped gracefully, 1 failed, 2 bad settings.\n\n" +
+		Description: "Runs one instance. Its settings determine its roles: with a data folder it is also a\n" +
+			"replica of the durable state; with [routing] it serves declared routes on a platform.\n" +
+			"On SIGHUP, and when the file changes, it reloads seeds, frame keys and log level.\n" +
+			"On SIGTERM it drains, finishes the calls in flight and stops.\n\n" +
+			"Exit codes: 0 stopped gracefully, 1 failed, 2 invalid settings.\n\n" +
 			"Example: cardamomwickd --settings /etc/cardamomwick/instance.toml",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "the settings `FILE` (TOML)", Required: true},
@@ -48,7 +48,7 @@
 	}
 }
 
-// instance is a daemon of either kind.
+// instance is a daemon.Daemon or a daemon.Routed.
 type instance interface {
 	Run(stop context.Context) error
 	Reload(s *settings.Settings) error
@@ -79,14 +79,14 @@
 	logNotices(s, file)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	d, err := newInstance(s)
 	if err != nil {
 		log.WithError(err).WithField("step", "start").Error("instance can't start")
 		return cli.Exit(err.Error(), exitFailed)
 	}
-	go reloadOnChange(d, file, hangUps)
+	go reloadOnChange(d, file, hangups)
 	if err := d.Run(stop); err != nil {
 		log.WithError(err).WithField("step", "run").Error("instance ended with an error")
 		return cli.Exit(err.Error(), exitFailed)
@@ -94,15 +94,15 @@
 	return nil
 }
 
-// logNotices says which settings were not taken as they stand.
+// logNotices logs the settings whose values were replaced or ignored.
 func logNotices(s *settings.Settings, file string) {
 	for _, p := range s.Notices() {
 		log.WithFields(log.Fields{"step": "read settings", "file": file, "key": p.Key}).Warn(p.Reason)
 	}
 }
 
-// logFile is standard output on a platform, which collects it, and standard
-// error elsewhere.
+// logFile returns the file that the log is written to: standard output on a platform, which
+// collects it, otherwise standard error.
 func logFile(s *settings.Settings) *os.File {
 	if s.Routing.Enabled {
 		return os.Stdout
--- a/cmd/cardamomwickd/reload.go
+++ b/cmd/cardamomwickd/reload.go
@@ -10,28 +10,28 @@
 	"cardamomwick.example/daemon/settings"
 )
 
-// settingsPeriod is how often the settings file is looked at: it may change
-// without a signal.
-const settingsPeriod = 2 * time.Second
+// settingsPollInterval is how often the settings file is checked for changes, since it may
+// change without a SIGHUP.
+const settingsPollInterval = 2 * time.Second
 
-// reloadOnChange reads the settings again at each SIGHUP and whenever the file
-// has other content.
-func reloadOnChange(d instance, file string, hangUps <-chan os.Signal) {
+// reloadOnChange reloads the settings on each SIGHUP and whenever the content of the file has
+// changed.
+func reloadOnChange(d instance, file string, hangups <-chan os.Signal) {
 	last, err := os.ReadFile(file)
 	if err != nil {
-		log.WithError(err).WithField("step", "read settings").Warn("changes are looked for all the same")
+		log.WithError(err).WithField("step", "read settings").Warn("the settings file can't be read; checking for changes continues")
 	}
-	ticker := time.NewTicker(settingsPeriod)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
-		signalled := false
+		hangup := false
 		select {
-		case <-hangUps:
-			signalled = true
+		case <-hangups:
+			hangup = true
 		case <-ticker.C:
 		}
 		data, err := os.ReadFile(file)
-		if err == nil && !signalled && bytes.Equal(data, last) {
+		if err == nil && !hangup && bytes.Equal(data, last) {
 			continue
 		}
 		last = data
@@ -39,11 +39,12 @@
 			err = reload(d, file, data)
 		}
 		if err != nil {
-			log.WithError(err).WithField("step", "reload settings").Error("the old settings stay")
+			log.WithError(err).WithField("step", "reload settings").Error("reload failed; the previous settings stay in force")
 		}
 	}
 }
 
+// reload parses the settings and applies those that may change at run time.
 func reload(d instance, file string, data []byte) error {
 	s, err := settings.Parse(file, data)
 	if err != nil {
