--- a/daemon/cluster_test.go
+++ b/daemon/cluster_test.go
@@ -179,7 +179,8 @@
 // entry must apply it.
 const propagationLimit = 2 * time.Second
 
-// killLeader kills the current leader once and returns the other replicas.
+// killLeader kills the current leader, but not a next one elected in the meantime, and
+// returns the other replicas.
 func (c *cluster) killLeader(group []*member) []*member {
 	c.t.Helper()
 	leads := func(m *member) bool { v, _ := m.replica.View(); return v.Leading }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -33,7 +33,7 @@
 	"cardamomwick.example/daemon/telemetry"
 )
 
-// drainGossipMargin is the time that gossip takes to tell all instances that this one is
+// drainGossipMargin is the time in which gossip spreads to all instances that this one is
 // draining. It is added to the address list's time to live.
 const drainGossipMargin = 500 * time.Millisecond
 
