--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -1,6 +1,6 @@
-// Package client is the operators' side of a daemon's admin interface: it
-// signs orders and reads, and goes on to another instance when one does not
-// answer. Every request is safe to send again.
+// Package client is the operators' client for the admin API of a daemon. It signs
+// orders and read requests, and tries the next instance when one does not answer.
+// All requests are idempotent.
 package client
 
 import (
@@ -14,6 +14,7 @@
 	"io"
 	"net/http"
 	"os"
+	"strconv"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
@@ -26,18 +27,18 @@
 )
 
 const (
-	tryTimeout = 6 * time.Second
-	retryPause = 100 * time.Millisecond
-	maxReply   = 32 << 20
+	attemptTimeout = 6 * time.Second
+	retryInterval  = 100 * time.Millisecond
+	maxReplyBytes  = 32 << 20
 )
 
-// ErrUnreachable: no instance answered in time.
+// ErrUnreachable means that no instance answered in time.
 var ErrUnreachable = eris.New("no instance answered")
 
-// ErrRefused: an instance refused the request; sending it again won't help.
+// ErrRefused means that an instance rejected the request. Retrying does not help.
 var ErrRefused = eris.New("refused")
 
-// Key is an operator's signing key as kept in a file.
+// Key is an operator's signing key in the form of the key file.
 type Key struct {
 	Operator string `toml:"operator"`
 	// Private is the ed25519 seed in base64. Keep the file secret.
@@ -45,11 +46,11 @@
 	Public  string `toml:"public_key"`
 }
 
-// NewKey draws a key.
+// NewKey generates a key.
 func NewKey(operator string) (*Key, error) {
 	pub, priv, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, eris.Wrap(err, "draw key")
+		return nil, eris.Wrap(err, "generate key")
 	}
 	return &Key{operator, base64.StdEncoding.EncodeToString(priv.Seed()), base64.StdEncoding.EncodeToString(pub)}, nil
 }
@@ -62,7 +63,7 @@
 	}
 	var k Key
 	if err := toml.Unmarshal(data, &k); err != nil {
-		return nil, eris.Wrapf(err, "key file %s", file)
+		return nil, eris.Wrapf(err, "parse key file %s", file)
 	}
 	if seed, err := base64.StdEncoding.DecodeString(k.Private); err != nil || len(seed) != ed25519.SeedSize || k.Operator == "" {
 		return nil, eris.Errorf("key file %s holds no operator key; make one with: cardamomctl keys generate", file)
@@ -70,7 +71,7 @@
 	return &k, nil
 }
 
-// Save writes the key to a file that only its owner can read.
+// Save writes the key to a new file that only its owner can read.
 func (k *Key) Save(file string) error {
 	data, err := toml.Marshal(k)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return eris.Wrap(err, "write key file")
 }
 
-func (k *Key) private() ed25519.PrivateKey {
+func (k *Key) signingKey() ed25519.PrivateKey {
 	seed, err := base64.StdEncoding.DecodeString(k.Private)
 	if err != nil {
 		panic(err) // checked by LoadKey
@@ -94,49 +95,50 @@
 }
 
 // Sign signs an order.
-func (k *Key) Sign(o *bundle.SignedOrder) { o.Sign(k.Operator, k.private()) }
+func (k *Key) Sign(o *bundle.SignedOrder) { o.Sign(k.Operator, k.signingKey()) }
 
-// Client reaches the instances at their caller addresses.
+// Client sends requests to the caller addresses of the instances. Without a key, reads
+// are not signed.
 type Client struct {
 	Addresses []string
 	Key       *Key
 }
 
-// do sends a request to one instance after another until one has answered or
-// the context ends.
+// do sends a request to the instances in turn until one accepts or refuses it or the
+// context ends. It returns the HTTP status.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, out any) (int, error) {
-	var last error
-	for k := 0; ctx.Err() == nil; k++ {
-		address := c.Addresses[k%len(c.Addresses)]
-		status, err := c.try(ctx, address, method, path, body, out)
+	var lastErr error
+	for n := 0; ctx.Err() == nil; n++ {
+		address := c.Addresses[n%len(c.Addresses)]
+		status, err := c.doOnce(ctx, address, method, path, body, out)
 		if err == nil || errors.Is(err, ErrRefused) {
 			return status, err
 		}
-		last = err
+		lastErr = err
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
-	return 0, eris.Wrapf(ErrUnreachable, "%s: last error: %v", path, last)
+	return 0, eris.Wrapf(ErrUnreachable, "%s: last error: %v", path, lastErr)
 }
 
-func (c *Client) try(ctx context.Context, address, method, path string, body []byte, out any) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+func (c *Client) doOnce(ctx context.Context, address, method, path string, body []byte, out any) (int, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, eris.Wrap(ErrRefused, err.Error())
 	}
 	if c.Key != nil && method == http.MethodGet {
-		bundle.SignRead(req, c.Key.Operator, c.Key.private(), time.Now())
+		bundle.SignRead(req, c.Key.Operator, c.Key.signingKey(), time.Now())
 	}
 	resp, err := httpc.DoRequest(req)
 	if err != nil {
 		return 0, err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return 0, err
 	}
@@ -146,13 +148,13 @@
 	case resp.StatusCode >= http.StatusInternalServerError:
 		return 0, eris.Errorf("instance %s: status %d: %s", address, resp.StatusCode, data)
 	}
-	var e api.AdminError
-	_ = json.Unmarshal(data, &e)
-	return resp.StatusCode, eris.Wrapf(ErrRefused, "instance %s: %s", address, e.Error)
+	var reply api.AdminError
+	_ = json.Unmarshal(data, &reply)
+	return resp.StatusCode, eris.Wrapf(ErrRefused, "instance %s: %s", address, reply.Error)
 }
 
-// Order sends a signed order until it is answered.
-func (c *Client) Order(ctx context.Context, o *bundle.SignedOrder) (state.Result, error) {
+// SendOrder sends a signed order and returns its result.
+func (c *Client) SendOrder(ctx context.Context, o *bundle.SignedOrder) (state.Result, error) {
 	var res state.Result
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -168,12 +170,12 @@
 	return out, err
 }
 
-// Status returns the replica group's state.
+// Status returns the state of the replica group.
 func (c *Client) Status(ctx context.Context) (api.GroupStatus, error) {
 	return get[api.GroupStatus](ctx, c, api.PathStatus)
 }
 
-// Instances describes all instances.
+// Instances lists all instances.
 func (c *Client) Instances(ctx context.Context) ([]api.InstanceInfo, error) {
 	return get[[]api.InstanceInfo](ctx, c, api.PathInstances)
 }
@@ -188,11 +190,11 @@
 	return get[api.BundleReply](ctx, c, api.PathBundle)
 }
 
-// Audit returns the whole audit trail behind a sequence.
+// Audit returns the audit entries after a sequence number, over all pages.
 func (c *Client) Audit(ctx context.Context, after uint64) ([]state.AuditEntry, error) {
 	var all []state.AuditEntry
 	for {
-		page, err := get[[]state.AuditEntry](ctx, c, api.PathAudit+"?after="+uintText(after))
+		page, err := get[[]state.AuditEntry](ctx, c, api.PathAudit+"?after="+strconv.FormatUint(after, 10))
 		if err != nil || len(page) == 0 {
 			return all, err
 		}
--- a/ctl/client/orders.go
+++ b/ctl/client/orders.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"strconv"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -12,79 +11,81 @@
 	"cardamomwick.example/core/state"
 )
 
-func uintText(n uint64) string { return strconv.FormatUint(n, 10) }
+// maxSignAttempts limits how often an order is signed for the current generation when
+// other orders keep changing it.
+const maxSignAttempts = 5
 
-// maxRebase bounds how often an order is signed anew because the generation
-// moved on meanwhile.
-const maxRebase = 5
-
-// PublishOrder returns the signed order for a bundle.
-func (c *Client) PublishOrder(b *bundle.Bundle, expected uint64) *bundle.SignedOrder {
+// SignPublishOrder returns a signed order that publishes a bundle if the generation in
+// force is the expected one.
+func (c *Client) SignPublishOrder(b *bundle.Bundle, expected uint64) *bundle.SignedOrder {
 	o := &bundle.SignedOrder{Kind: bundle.OrderPublish, Version: b.Version, Digest: b.Digest(), Expected: expected, Content: b.Canonical()}
 	c.Key.Sign(o)
 	return o
 }
 
-// rebase signs and sends an order, again when only the generation has moved.
-func (c *Client) rebase(ctx context.Context, make func(expected uint64) *bundle.SignedOrder) (state.Result, error) {
+// sendAtCurrentGeneration signs and sends an order for the current generation, and again
+// if the generation changed in between.
+func (c *Client) sendAtCurrentGeneration(ctx context.Context, sign func(expected uint64) *bundle.SignedOrder) (state.Result, error) {
 	var res state.Result
-	for range maxRebase {
+	for range maxSignAttempts {
 		st, err := c.Status(ctx)
 		if err != nil {
 			return res, err
 		}
-		if res, err = c.Order(ctx, make(st.Generation)); err != nil || res.Code != state.CodeStale {
+		if res, err = c.SendOrder(ctx, sign(st.Generation)); err != nil || res.Code != state.CodeStale {
 			return res, err
 		}
 	}
 	return res, nil
 }
 
-// Publish signs a bundle off and puts it in force. Publishing the same bundle
-// again gives the same answer.
+// Publish signs a bundle and puts it in force. Publishing the same bundle again returns
+// the same result.
 func (c *Client) Publish(ctx context.Context, b *bundle.Bundle) (state.Result, error) {
-	return c.rebase(ctx, func(expected uint64) *bundle.SignedOrder { return c.PublishOrder(b, expected) })
+	return c.sendAtCurrentGeneration(ctx, func(expected uint64) *bundle.SignedOrder { return c.SignPublishOrder(b, expected) })
 }
 
-// Change sends a roll-forward or withdraw.
-func (c *Client) Change(ctx context.Context, kind bundle.OrderKind, version uint64) (state.Result, error) {
-	return c.rebase(ctx, func(expected uint64) *bundle.SignedOrder {
+// SendVersionOrder signs and sends an order about a published version: a roll-forward or
+// a withdrawal.
+func (c *Client) SendVersionOrder(ctx context.Context, kind bundle.OrderKind, version uint64) (state.Result, error) {
+	return c.sendAtCurrentGeneration(ctx, func(expected uint64) *bundle.SignedOrder {
 		o := &bundle.SignedOrder{Kind: kind, Version: version, Expected: expected}
 		c.Key.Sign(o)
 		return o
 	})
 }
 
-// Retire takes a backend server out.
+// Retire signs and sends the order that retires a backend server.
 func (c *Client) Retire(ctx context.Context, server string) (state.Result, error) {
-	return c.rebase(ctx, func(expected uint64) *bundle.SignedOrder {
+	return c.sendAtCurrentGeneration(ctx, func(expected uint64) *bundle.SignedOrder {
 		o := &bundle.SignedOrder{Kind: bundle.OrderRetire, Server: server, Expected: expected}
 		c.Key.Sign(o)
 		return o
 	})
 }
 
-const inForcePoll = 50 * time.Millisecond
+const inForcePollInterval = 50 * time.Millisecond
 
-// WaitInForce waits until every instance acts on a generation, or has no
-// lease and so acts on nothing. progress is told each count.
-func (c *Client) WaitInForce(ctx context.Context, generation uint64, progress func(done, all int)) error {
+// WaitInForce waits until every instance is reachable and either has reached a generation
+// or has no valid configuration lease, without which it does not act on any. After each
+// poll, progress, which may be nil, gets the number of such instances and of all.
+func (c *Client) WaitInForce(ctx context.Context, generation uint64, progress func(inForce, total int)) error {
 	for {
 		list, err := c.Instances(ctx)
 		if err != nil {
 			return err
 		}
-		done := countInForce(list, generation)
+		inForce := countInForce(list, generation)
 		if progress != nil {
-			progress(done, len(list))
+			progress(inForce, len(list))
 		}
-		if done == len(list) && done > 0 {
+		if inForce == len(list) && inForce > 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Wrapf(ctx.Err(), "generation %d in force on %d of %d instances", generation, done, len(list))
-		case <-time.After(inForcePoll):
+			return eris.Wrapf(ctx.Err(), "generation %d in force on %d of %d instances", generation, inForce, len(list))
+		case <-time.After(inForcePollInterval):
 		}
 	}
 }
--- a/ctl/client/pages.go
+++ b/ctl/client/pages.go
@@ -13,16 +13,17 @@
 	"cardamomwick.example/core/api"
 )
 
-// Usage reads the recorded windows after the given one from an instance with a replica,
-// by the address of its metrics page, and hands them on in order.
-func Usage(ctx context.Context, address string, after int64, take func(api.UsageRecord) error) (late uint64, err error) {
+// ReadUsage calls handle, in order, for each usage window recorded after the given one. It
+// reads them from the metrics address of an instance that has a replica. It returns the
+// number of runs that were reported too late to be counted.
+func ReadUsage(ctx context.Context, address string, after int64, handle func(api.UsageRecord) error) (late uint64, err error) {
 	for {
 		var page api.UsagePage
 		if err := readPage(ctx, address, fmt.Sprintf("%s?%s=%d", api.PathUsage, api.QueryAfter, after), &page); err != nil {
 			return 0, err
 		}
 		for _, r := range page.Records {
-			if err := take(r); err != nil {
+			if err := handle(r); err != nil {
 				return 0, err
 			}
 			after = r.Window
@@ -33,25 +34,26 @@
 	}
 }
 
-// Duties reads who holds the duties, by the address of a replica's metrics page.
-func Duties(ctx context.Context, address string) (api.DutiesPage, error) {
+// ReadDuties reads the holders of the duties from the metrics address of an instance that
+// has a replica.
+func ReadDuties(ctx context.Context, address string) (api.DutiesPage, error) {
 	var page api.DutiesPage
 	err := readPage(ctx, address, api.PathDuties, &page)
 	return page, err
 }
 
-// Limits reads the request limits of servers that an instance holds, by the address of its
-// metrics page.
-func Limits(ctx context.Context, address string) (api.LimitsPage, error) {
+// ReadLimits reads the request limits of servers as an instance knows them from the
+// instance's metrics address.
+func ReadLimits(ctx context.Context, address string) (api.LimitsPage, error) {
 	var page api.LimitsPage
 	err := readPage(ctx, address, api.PathLimits, &page)
 	return page, err
 }
 
-func readPage(ctx context.Context, address, path string, v any) error {
+func readPage(ctx context.Context, address, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return eris.Wrapf(err, "ask %s", address)
+		return eris.Wrapf(err, "build request to %s", address)
 	}
 	resp, err := httpc.DoRequest(req)
 	if err != nil {
@@ -61,5 +63,5 @@
 	if resp.StatusCode != http.StatusOK || resp.Header.Get("Content-Type") != "application/json" {
 		return eris.Wrapf(ErrRefused, "%s has no page %s: is it the metrics address of an instance that has one?", address, path)
 	}
-	return eris.Wrapf(json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(v), "read %s of %s", path, address)
+	return eris.Wrapf(json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(out), "read %s of %s", path, address)
 }
--- a/ctl/commands/bundle.go
+++ b/ctl/commands/bundle.go
@@ -81,7 +81,7 @@
 		return cli.Exit(err.Error(), ExitInput)
 	}
 	c := &client.Client{Key: key}
-	data, err := json.MarshalIndent(c.PublishOrder(b, uint64(cmd.Uint("expect"))), "", "  ")
+	data, err := json.MarshalIndent(c.SignPublishOrder(b, uint64(cmd.Uint("expect"))), "", "  ")
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 		if err != nil {
 			return state.Result{}, cli.Exit(err.Error(), ExitInput)
 		}
-		return c.Order(ctx, &o)
+		return c.SendOrder(ctx, &o)
 	}
 	b, err := loadBundle(cmd)
 	if err != nil {
@@ -130,7 +130,7 @@
 		if err != nil {
 			return cli.Exit("VERSION must be a number", ExitInput)
 		}
-		res, err := c.Change(ctx, kind, version)
+		res, err := c.SendVersionOrder(ctx, kind, version)
 		if err != nil {
 			return err
 		}
--- a/ctl/commands/duties.go
+++ b/ctl/commands/duties.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return cli.Exit(err.Error(), ExitInput)
 	}
-	late, err := client.Usage(ctx, address, int64(cmd.Int("after")), func(r api.UsageRecord) error {
+	late, err := client.ReadUsage(ctx, address, int64(cmd.Int("after")), func(r api.UsageRecord) error {
 		for _, customer := range slices.Sorted(maps.Keys(r.Counts)) {
 			if err := w.write(&r, customer); err != nil {
 				return err
@@ -135,7 +135,7 @@
 func (j jsonRows) flush() error { return nil }
 
 func dutiesList(ctx context.Context, cmd *cli.Command, address string) error {
-	page, err := client.Duties(ctx, address)
+	page, err := client.ReadDuties(ctx, address)
 	if err != nil {
 		return err
 	}
--- a/ctl/commands/limits.go
+++ b/ctl/commands/limits.go
@@ -23,7 +23,7 @@
 }
 
 func limitsList(ctx context.Context, cmd *cli.Command, address string) error {
-	page, err := client.Limits(ctx, address)
+	page, err := client.ReadLimits(ctx, address)
 	if err != nil {
 		return err
 	}
--- a/ctl/prove/bundles_test.go
+++ b/ctl/prove/bundles_test.go
@@ -148,10 +148,10 @@
 // after a lost answer.
 func (w *world) raceOne(h *history, id int, c *client.Client, b *bundle.Bundle, read func(int, *client.Client) uint64) {
 	for w.ctx.Err() == nil {
-		o := c.PublishOrder(b, read(id, c))
+		o := c.SignPublishOrder(b, read(id, c))
 		in := registerInput{version: o.Version, digest: o.Digest, expected: o.Expected}
 		send := func() registerOutput {
-			res, err := c.Order(w.ctx, o)
+			res, err := c.SendOrder(w.ctx, o)
 			if err != nil {
 				w.t.Error(err)
 			}
@@ -237,7 +237,7 @@
 	if st.Generation != want || len(st.Retired) != changes || len(list) != int(want) {
 		t.Fatalf("generation %d, want %d", st.Generation, want)
 	}
-	res, err := w.Client.Order(w.ctx, w.Client.PublishOrder(w.CompleteBundle(declarations(1)), 0))
+	res, err := w.Client.SendOrder(w.ctx, w.Client.SignPublishOrder(w.CompleteBundle(declarations(1)), 0))
 	must(t, err)
 	if res.Code != state.CodeOK || res.Order.Generation != 1 {
 		t.Fatalf("the first order again: %+v, want its first answer", res)
