--- a/ctl/commands/bundle.go
+++ b/ctl/commands/bundle.go
@@ -21,19 +21,19 @@
 		Usage: "check, sign and roll out bundles",
 		Commands: []*cli.Command{
 			{Name: "check", Usage: "check a bundle file and show every error", ArgsUsage: "FILE", Action: bundleCheck},
-			{Name: "diff", Usage: "show what a bundle file would change", ArgsUsage: "FILE", Action: online(bundleDiff)},
-			{Name: "sign", Usage: "sign a bundle off without sending it", ArgsUsage: "FILE",
+			{Name: "diff", Usage: "show what a bundle file would change", ArgsUsage: "FILE", Action: withClient(bundleDiff)},
+			{Name: "sign", Usage: "sign a bundle without sending it", ArgsUsage: "FILE",
 				Flags: []cli.Flag{
 					&cli.UintFlag{Name: "expect", Usage: "the `GENERATION` that must be in force when it is published", Required: true},
 					&cli.StringFlag{Name: "out", Usage: "write the signed order to `FILE`", Required: true},
 				}, Action: bundleSign},
-			{Name: "publish", Usage: "sign a bundle off and put it in force; safe to repeat", ArgsUsage: "FILE (bundle, or an order from bundle sign ending in .json)",
-				Flags: []cli.Flag{noWait()}, Action: online(bundlePublish)},
+			{Name: "publish", Usage: "sign a bundle and put it in force; safe to repeat", ArgsUsage: "FILE (bundle, or an order from bundle sign ending in .json)",
+				Flags: []cli.Flag{noWaitFlag()}, Action: withClient(bundlePublish)},
 			{Name: "roll-forward", Usage: "put a stored version in force again as a new generation", ArgsUsage: "VERSION",
-				Flags: []cli.Flag{noWait()}, Action: online(bundleChange(bundle.OrderRollForward))},
-			{Name: "withdraw", Usage: "take the version in force back; the one before comes in force as a new generation", ArgsUsage: "VERSION",
-				Flags: []cli.Flag{noWait()}, Action: online(bundleChange(bundle.OrderWithdraw))},
-			{Name: "status", Usage: "show the version in force and the stored ones", Action: online(bundleStatus)},
+				Flags: []cli.Flag{noWaitFlag()}, Action: withClient(bundleVersionOrder(bundle.OrderRollForward))},
+			{Name: "withdraw", Usage: "withdraw the version in force; the previous one comes into force as a new generation", ArgsUsage: "VERSION",
+				Flags: []cli.Flag{noWaitFlag()}, Action: withClient(bundleVersionOrder(bundle.OrderWithdraw))},
+			{Name: "status", Usage: "show the version in force and the stored ones", Action: withClient(bundleStatus)},
 		},
 	}
 }
@@ -52,19 +52,19 @@
 	if err != nil {
 		return err
 	}
-	cur, err := c.Bundle(ctx)
+	inForce, err := c.Bundle(ctx)
 	if err != nil {
 		return err
 	}
 	from := &bundle.Bundle{}
-	if len(cur.Content) > 0 {
-		if from, err = bundle.Decode(cur.Content); err != nil {
+	if len(inForce.Content) > 0 {
+		if from, err = bundle.Decode(inForce.Content); err != nil {
 			return err
 		}
 	}
 	lines := bundle.Diff(from, b).Lines()
-	return show(cmd, lines, func(w io.Writer) {
-		fmt.Fprintf(w, "version %d in force, version %d in the file, %d changes\n", cur.Version, b.Version, len(lines))
+	return printOutput(cmd, lines, func(w io.Writer) {
+		fmt.Fprintf(w, "version %d in force, version %d in the file, %d changes\n", inForce.Version, b.Version, len(lines))
 		for _, l := range lines {
 			fmt.Fprintln(w, l)
 		}
@@ -93,16 +93,19 @@
 	if err != nil {
 		return err
 	}
-	if err := report(cmd, res); err != nil {
+	if err := printResult(cmd, res); err != nil {
 		return err
 	}
 	return waitInForce(ctx, cmd, c, res.Order.Generation)
 }
 
-const orderSuffix = ".json"
+// signedOrderSuffix marks files with a signed order; other files hold a bundle.
+const signedOrderSuffix = ".json"
 
+// publish sends the signed order in the file that the argument names, or signs and
+// publishes the bundle in it.
 func publish(ctx context.Context, cmd *cli.Command, c *client.Client) (state.Result, error) {
-	if file := cmd.Args().First(); len(file) > len(orderSuffix) && file[len(file)-len(orderSuffix):] == orderSuffix {
+	if file := cmd.Args().First(); len(file) > len(signedOrderSuffix) && file[len(file)-len(signedOrderSuffix):] == signedOrderSuffix {
 		var o bundle.SignedOrder
 		data, err := os.ReadFile(file)
 		if err == nil {
@@ -120,9 +123,9 @@
 	return c.Publish(ctx, b)
 }
 
-func bundleChange(kind bundle.OrderKind) func(context.Context, *cli.Command, *client.Client) error {
+func bundleVersionOrder(kind bundle.OrderKind) func(context.Context, *cli.Command, *client.Client) error {
 	return func(ctx context.Context, cmd *cli.Command, c *client.Client) error {
-		text, err := argument(cmd, 0, "the VERSION")
+		text, err := requiredArgument(cmd, 0, "the VERSION")
 		if err != nil {
 			return err
 		}
@@ -134,7 +137,7 @@
 		if err != nil {
 			return err
 		}
-		if err := report(cmd, res); err != nil {
+		if err := printResult(cmd, res); err != nil {
 			return err
 		}
 		return waitInForce(ctx, cmd, c, res.Order.Generation)
@@ -146,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	return show(cmd, st, func(w io.Writer) {
+	return printOutput(cmd, st, func(w io.Writer) {
 		fmt.Fprintf(w, "generation %d, version %d in force, digest %s\n\n", st.Generation, st.BundleVersion, st.BundleDigest)
 		fmt.Fprintln(w, "VERSION\tGENERATION\tOPERATOR\tWITHDRAWN\tDIGEST")
 		for _, v := range st.Versions {
--- a/ctl/commands/commands.go
+++ b/ctl/commands/commands.go
@@ -1,4 +1,4 @@
-// Package commands is the command line of cardamomctl.
+// Package commands implements the command line of cardamomctl.
 package commands
 
 import (
@@ -45,8 +45,8 @@
 	}
 }
 
-// connect returns a client from the global flags.
-func connect(cmd *cli.Command) (*client.Client, error) {
+// newClient returns a client with the addresses and the key that the global flags name.
+func newClient(cmd *cli.Command) (*client.Client, error) {
 	addresses := strings.FieldsFunc(cmd.String("instances"), func(r rune) bool { return r == ',' })
 	if len(addresses) == 0 {
 		return nil, cli.Exit("--instances is required (or CARDAMOMWICK_INSTANCES), for example --instances 127.0.0.1:7001", ExitInput)
@@ -61,21 +61,21 @@
 	return &client.Client{Addresses: addresses, Key: key}, nil
 }
 
-// online runs f with a client and a time limit.
-func online(f func(ctx context.Context, cmd *cli.Command, c *client.Client) error) cli.ActionFunc {
+// withClient returns an action that runs f with a client and the timeout of the flags.
+func withClient(f func(ctx context.Context, cmd *cli.Command, c *client.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		c, err := connect(cmd)
+		c, err := newClient(cmd)
 		if err != nil {
 			return err
 		}
 		ctx, cancel := context.WithTimeout(ctx, cmd.Duration("timeout"))
 		defer cancel()
-		return exit(f(ctx, cmd, c))
+		return withExitCode(f(ctx, cmd, c))
 	}
 }
 
-// exit gives an error its exit code.
-func exit(err error) error {
+// withExitCode adds the exit code for an error to it.
+func withExitCode(err error) error {
 	var coded cli.ExitCoder
 	switch {
 	case err == nil, errors.As(err, &coded):
@@ -88,8 +88,8 @@
 	return cli.Exit(err.Error(), ExitFailed)
 }
 
-// show prints a value as JSON or by its table function.
-func show(cmd *cli.Command, v any, table func(w io.Writer)) error {
+// printOutput prints v as JSON, or calls table to print it as a table, as --output says.
+func printOutput(cmd *cli.Command, v any, table func(w io.Writer)) error {
 	if cmd.String("output") == "json" {
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetIndent("", "  ")
@@ -100,16 +100,17 @@
 	return w.Flush()
 }
 
-// argument returns the n-th argument or explains what is missing.
-func argument(cmd *cli.Command, n int, what string) (string, error) {
+// requiredArgument returns the n-th argument, or an error that names it by its
+// description.
+func requiredArgument(cmd *cli.Command, n int, description string) (string, error) {
 	if cmd.Args().Len() <= n {
-		return "", cli.Exit(fmt.Sprintf("missing argument: %s\nSee: cardamomctl %s --help", what, cmd.FullName()), ExitInput)
+		return "", cli.Exit(fmt.Sprintf("missing argument: %s\nSee: cardamomctl %s --help", description, cmd.FullName()), ExitInput)
 	}
 	return cmd.Args().Get(n), nil
 }
 
 func loadBundle(cmd *cli.Command) (*bundle.Bundle, error) {
-	file, err := argument(cmd, 0, "the bundle FILE")
+	file, err := requiredArgument(cmd, 0, "the bundle FILE")
 	if err != nil {
 		return nil, err
 	}
@@ -124,9 +125,10 @@
 	return b, nil
 }
 
-// report prints an order's result; anything but success is a conflict.
-func report(cmd *cli.Command, res state.Result) error {
-	if err := show(cmd, res, func(w io.Writer) {
+// printResult prints the result of an order. Any code but OK is an error with the exit
+// code for conflicts.
+func printResult(cmd *cli.Command, res state.Result) error {
+	if err := printOutput(cmd, res, func(w io.Writer) {
 		fmt.Fprintf(w, "result\t%s\n", res.Code)
 		if res.Message != "" {
 			fmt.Fprintf(w, "reason\t%s\n", res.Message)
@@ -141,15 +143,16 @@
 	return nil
 }
 
-// waitInForce shows progress until a generation is in force everywhere.
+// waitInForce waits until a generation is in force on all instances, and prints the
+// progress to standard error. With --no-wait it returns at once.
 func waitInForce(ctx context.Context, cmd *cli.Command, c *client.Client, generation uint64) error {
 	if cmd.Bool("no-wait") {
 		return nil
 	}
 	start := time.Now()
 	last := ""
-	err := c.WaitInForce(ctx, generation, func(done, all int) {
-		if line := fmt.Sprintf("in force on %d of %d instances", done, all); line != last {
+	err := c.WaitInForce(ctx, generation, func(inForce, total int) {
+		if line := fmt.Sprintf("in force on %d of %d instances", inForce, total); line != last {
 			fmt.Fprintln(os.Stderr, line)
 			last = line
 		}
@@ -160,6 +163,6 @@
 	return err
 }
 
-func noWait() cli.Flag {
+func noWaitFlag() cli.Flag {
 	return &cli.BoolFlag{Name: "no-wait", Usage: "don't wait until it is in force everywhere"}
 }
--- a/ctl/commands/duties.go
+++ b/ctl/commands/duties.go
@@ -25,11 +25,11 @@
 		Description: "Reads them from an instance with a replica, by the address of its metrics page (metrics.address).\n" +
 			"One that is cut off answers with what it has. Example: cardamomctl usage --at 10.0.0.3:9464 --format csv > usage.csv",
 		Flags: []cli.Flag{
-			atFlag(replicaInstance),
+			metricsAddressFlag(instancesWithReplica),
 			&cli.StringFlag{Name: "format", Usage: "table, csv or jsonl", Value: "table"},
 			&cli.IntFlag{Name: "after", Usage: "only windows after this `WINDOW`"},
 		},
-		Action: paged(usageList),
+		Action: withMetricsAddress(usageList),
 	}
 }
 
@@ -37,35 +37,37 @@
 	return &cli.Command{
 		Name:  "duties",
 		Usage: "show who holds the duties of one instance at a time, and the servers ordered",
-		Flags: []cli.Flag{atFlag(replicaInstance)}, Action: paged(dutiesList),
+		Flags: []cli.Flag{metricsAddressFlag(instancesWithReplica)}, Action: withMetricsAddress(dutiesList),
 	}
 }
 
-// replicaInstance says which instances have what a command shows.
-const replicaInstance = "an instance with a replica"
+// instancesWithReplica describes the instances that can answer the commands of this file.
+const instancesWithReplica = "an instance with a replica"
 
-// atFlag names the instance to ask; whose says which ones can answer.
-func atFlag(whose string) cli.Flag {
-	return &cli.StringFlag{Name: "at", Usage: "metrics `ADDRESS` of " + whose, Required: true}
+// metricsAddressFlag returns the flag for the instance to ask. instances describes those
+// that can answer.
+func metricsAddressFlag(instances string) cli.Flag {
+	return &cli.StringFlag{Name: "at", Usage: "metrics `ADDRESS` of " + instances, Required: true}
 }
 
-// paged runs f with the address and a time limit.
-func paged(f func(ctx context.Context, cmd *cli.Command, address string) error) cli.ActionFunc {
+// withMetricsAddress returns an action that runs f with the metrics address and the
+// timeout of the flags.
+func withMetricsAddress(f func(ctx context.Context, cmd *cli.Command, address string) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		ctx, cancel := context.WithTimeout(ctx, cmd.Duration("timeout"))
 		defer cancel()
-		return exit(f(ctx, cmd, cmd.String("at")))
+		return withExitCode(f(ctx, cmd, cmd.String("at")))
 	}
 }
 
-// rowWriter writes one count of a window.
-type rowWriter interface {
+// usageWriter prints usage records, one row for each window and customer.
+type usageWriter interface {
 	write(r *api.UsageRecord, customer string) error
 	flush() error
 }
 
 func usageList(ctx context.Context, cmd *cli.Command, address string) error {
-	w, err := newRowWriter(cmd.String("format"), os.Stdout)
+	w, err := newUsageWriter(cmd.String("format"), os.Stdout)
 	if err != nil {
 		return cli.Exit(err.Error(), ExitInput)
 	}
@@ -81,38 +83,38 @@
 		return err
 	}
 	if late > 0 {
-		fmt.Fprintf(os.Stderr, "%d runs were told after their window was closed, and are in none\n", late)
+		fmt.Fprintf(os.Stderr, "%d runs were reported after their window was closed and are not in the list\n", late)
 	}
 	return w.flush()
 }
 
-func newRowWriter(format string, out io.Writer) (rowWriter, error) {
+func newUsageWriter(format string, out io.Writer) (usageWriter, error) {
 	switch format {
 	case "table":
-		return &csvRows{csv: tabbed(out)}, nil
+		return &csvUsageWriter{csv: newTSVWriter(out)}, nil
 	case "csv":
-		return &csvRows{csv: csv.NewWriter(out)}, nil
+		return &csvUsageWriter{csv: csv.NewWriter(out)}, nil
 	case "jsonl":
-		return jsonRows{json.NewEncoder(out)}, nil
+		return jsonUsageWriter{json.NewEncoder(out)}, nil
 	}
 	return nil, fmt.Errorf("unknown format %q: table, csv or jsonl", format)
 }
 
-// csvRows writes comma- or tab-separated lines with a head.
-type csvRows struct {
-	csv    *csv.Writer
-	headed bool
+// csvUsageWriter writes comma- or tab-separated lines after a header line.
+type csvUsageWriter struct {
+	csv           *csv.Writer
+	headerWritten bool
 }
 
-func tabbed(out io.Writer) *csv.Writer {
+func newTSVWriter(out io.Writer) *csv.Writer {
 	w := csv.NewWriter(out)
 	w.Comma = '\t'
 	return w
 }
 
-func (c *csvRows) write(r *api.UsageRecord, customer string) error {
-	if !c.headed {
-		c.headed = true
+func (c *csvUsageWriter) write(r *api.UsageRecord, customer string) error {
+	if !c.headerWritten {
+		c.headerWritten = true
 		if err := c.csv.Write([]string{"window", "begin", "end", "customer", "runs", "taken"}); err != nil {
 			return err
 		}
@@ -121,25 +123,25 @@
 		strconv.FormatUint(r.Counts[customer], 10), strconv.FormatBool(r.Acknowledged)})
 }
 
-func (c *csvRows) flush() error {
+func (c *csvUsageWriter) flush() error {
 	c.csv.Flush()
 	return c.csv.Error()
 }
 
-type jsonRows struct{ *json.Encoder }
+type jsonUsageWriter struct{ *json.Encoder }
 
-func (j jsonRows) write(r *api.UsageRecord, customer string) error {
+func (j jsonUsageWriter) write(r *api.UsageRecord, customer string) error {
 	return j.Encode(map[string]any{"window": r.Window, "begin": r.Begin, "end": r.End, "customer": customer, "runs": r.Counts[customer], "taken": r.Acknowledged})
 }
 
-func (j jsonRows) flush() error { return nil }
+func (j jsonUsageWriter) flush() error { return nil }
 
 func dutiesList(ctx context.Context, cmd *cli.Command, address string) error {
 	page, err := client.ReadDuties(ctx, address)
 	if err != nil {
 		return err
 	}
-	return show(cmd, page, func(w io.Writer) {
+	return printOutput(cmd, page, func(w io.Writer) {
 		fmt.Fprintln(w, "DUTY\tHOLDER\tTERM\tLAST FENCE")
 		for _, d := range page.Duties {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", d.Duty, d.Holder, d.Term, d.LastFence)
--- a/ctl/commands/explain.go
+++ b/ctl/commands/explain.go
@@ -14,7 +14,7 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell the story of a call on a declared route from the logs of many processes",
+		Usage:     "explain a call on a declared route from the logs of many processes",
 		ArgsUsage: "CALL-ID FILE...",
 		Description: "Reads JSON lines of entries and replicas and prints the call's lines, what its instances\n" +
 			"held at that time and what happened near it. Example: cardamomctl explain 9c41d07b logs/*.jsonl",
@@ -23,7 +23,7 @@
 }
 
 func explainCall(_ context.Context, cmd *cli.Command) error {
-	id, err := argument(cmd, 0, "the call's ID")
+	id, err := requiredArgument(cmd, 0, "the call's ID")
 	if err != nil {
 		return err
 	}
@@ -36,9 +36,9 @@
 		defer f.Close()
 		logs = append(logs, f)
 	}
-	story, err := explain.Read(id, logs...)
+	explanation, err := explain.Read(id, logs...)
 	if err != nil {
 		return err
 	}
-	return story.Write(os.Stdout)
+	return explanation.Write(os.Stdout)
 }
--- a/ctl/commands/fake.go
+++ b/ctl/commands/fake.go
@@ -11,8 +11,8 @@
 )
 
 func fakeCommand() *cli.Command {
-	return &cli.Command{Name: "fake", Usage: "run stand-ins of model engines and plain services",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "file", Usage: "the stand-ins' TOML `FILE`; see samples/fake.toml", Required: true}},
+	return &cli.Command{Name: "fake", Usage: "run fake model engines and plain services",
+		Flags: []cli.Flag{&cli.StringFlag{Name: "file", Usage: "the fake servers' TOML `FILE`; see samples/fake.toml", Required: true}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			cfg, err := fake.LoadConfig(cmd.String("file"))
 			if err != nil {
--- a/ctl/commands/keys.go
+++ b/ctl/commands/keys.go
@@ -26,7 +26,7 @@
 }
 
 func keysGenerate(_ context.Context, cmd *cli.Command) error {
-	name, err := argument(cmd, 0, "the OPERATOR's name")
+	name, err := requiredArgument(cmd, 0, "the OPERATOR's name")
 	if err != nil {
 		return err
 	}
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// Secret draws a printable secret.
-func Secret() (string, error) {
+// NewSecret generates a random secret in base64.
+func NewSecret() (string, error) {
 	raw := make([]byte, secretBytes)
 	if _, err := rand.Read(raw); err != nil {
 		return "", err
@@ -50,14 +50,14 @@
 	return base64.StdEncoding.EncodeToString(raw), nil
 }
 
-// Digest returns the SHA-256 of a secret in hex, as bundles hold it.
-func Digest(secret string) string {
+// SecretDigest returns the SHA-256 digest of a secret in hex, the form that bundles use.
+func SecretDigest(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
 }
 
 func keysFrame(context.Context, *cli.Command) error {
-	s, err := Secret()
+	s, err := NewSecret()
 	if err == nil {
 		fmt.Printf("[[peers.keys]]\nid = \"k1\"\nsecret = %q\n", s)
 	}
@@ -65,17 +65,17 @@
 }
 
 func keysSecret(context.Context, *cli.Command) error {
-	s, err := Secret()
+	s, err := NewSecret()
 	if err == nil {
-		fmt.Printf("secret: %s\nsha256: %s\n", s, Digest(s))
+		fmt.Printf("secret: %s\nsha256: %s\n", s, SecretDigest(s))
 	}
 	return err
 }
 
 func keysDigest(_ context.Context, cmd *cli.Command) error {
-	s, err := argument(cmd, 0, "the SECRET")
+	s, err := requiredArgument(cmd, 0, "the SECRET")
 	if err == nil {
-		fmt.Println(Digest(s))
+		fmt.Println(SecretDigest(s))
 	}
 	return err
 }
--- a/ctl/commands/limits.go
+++ b/ctl/commands/limits.go
@@ -17,8 +17,8 @@
 		Usage: "show the servers that have named request limits, as an instance that takes calls holds them",
 		Description: "LIMIT is what the server takes from all instances together, SHARE this instance's part of it, both a second.\n" +
 			"Example: cardamomctl limits --at 10.0.0.3:9464",
-		Flags:  []cli.Flag{atFlag("an instance that takes calls")},
-		Action: paged(limitsList),
+		Flags:  []cli.Flag{metricsAddressFlag("an instance that takes calls")},
+		Action: withMetricsAddress(limitsList),
 	}
 }
 
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	return show(cmd, page, func(w io.Writer) {
+	return printOutput(cmd, page, func(w io.Writer) {
 		fmt.Fprintln(w, "POOL\tSERVER\tLIMIT\tSHARE\tSENT\tSINCE")
 		for _, l := range page.Limits {
 			fmt.Fprintf(w, "%s\t%s\t%g\t%.3f\t%d\t%s\n", l.Pool, l.Server, l.PerSecond, l.Share, l.Sent, l.Since.Format(time.RFC3339))
--- a/ctl/commands/load.go
+++ b/ctl/commands/load.go
@@ -18,12 +18,12 @@
 	return &cli.Command{
 		Name:  "load",
 		Usage: "drive traffic from a profile and report what callers saw",
-		Description: "Calls arrive at drawn times, whatever the system does. The answers are checked against the stand-ins' text,\n" +
-			"so the engines must be those of cardamomctl fake.\n\nExample: cardamomctl --instances 127.0.0.1:7001 load --profile samples/nurlight-load.toml --keys keys.toml",
+		Description: "Calls arrive at random times, independent of how the system responds. The answers are compared with the\n" +
+			"text of the fake servers, so the servers must be those of cardamomctl fake.\n\nExample: cardamomctl --instances 127.0.0.1:7001 load --profile samples/nurlight-load.toml --keys keys.toml",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "profile", Usage: "the profile `FILE`", Required: true},
 			&cli.StringFlag{Name: "keys", Usage: "a TOML `FILE` with customer = \"bearer key\" lines", Required: true},
-			&cli.Int64Flag{Name: "seed", Usage: "draws the arrivals", Value: 1},
+			&cli.Int64Flag{Name: "seed", Usage: "seed of the random arrival times", Value: 1},
 			&cli.StringFlag{Name: "lines", Usage: "write the report as JSON lines to `FILE`"},
 			&cli.StringFlag{Name: "plot", Usage: "draw the attainment into a PNG or SVG `FILE`"},
 		},
@@ -51,7 +51,7 @@
 	caller.ConfigureTransport()
 	target := &load.Target{Instances: instances, Keys: keys, Zones: p.Fleet.Zones}
 	arrivals := p.Arrivals(cmd.Int64("seed"))
-	samples := load.Run(ctx, p, target, arrivals, ShowProgress)
+	samples := load.Run(ctx, p, target, arrivals, PrintProgress)
 	r := load.NewReport(p, "run", samples)
 	p.AddUpperBounds(arrivals, r)
 	r.WriteTable(os.Stdout)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// ShowProgress prints a run's progress on one line of the terminal.
-func ShowProgress(done, all int, elapsed time.Duration) {
-	fmt.Fprintf(os.Stderr, "\r%d of %d calls ended after %d s ", done, all, int(elapsed.Seconds()))
+// PrintProgress prints a run's progress to standard error, over the previous line.
+func PrintProgress(ended, total int, elapsed time.Duration) {
+	fmt.Fprintf(os.Stderr, "\r%d of %d calls ended after %d s ", ended, total, int(elapsed.Seconds()))
 }
--- a/ctl/commands/views.go
+++ b/ctl/commands/views.go
@@ -18,8 +18,8 @@
 		Name:  "server",
 		Usage: "list and retire backend servers",
 		Commands: []*cli.Command{
-			{Name: "list", Usage: "show all backend servers", Action: online(serverList)},
-			{Name: "retire", Usage: "give a backend server no new work any more", ArgsUsage: "ID", Flags: []cli.Flag{noWait()}, Action: online(serverRetire)},
+			{Name: "list", Usage: "show all backend servers", Action: withClient(serverList)},
+			{Name: "retire", Usage: "stop sending new work to a backend server", ArgsUsage: "ID", Flags: []cli.Flag{noWaitFlag()}, Action: withClient(serverRetire)},
 		},
 	}
 }
@@ -35,7 +35,7 @@
 		}
 		return list[i].ID < list[j].ID
 	})
-	return show(cmd, list, func(w io.Writer) {
+	return printOutput(cmd, list, func(w io.Writer) {
 		fmt.Fprintln(w, "POOL\tID\tADDRESS\tZONE\tGRANTED\tREPORTED\tSLOTS\tSPEED\tSTATE\tDISPATCHER")
 		for _, s := range list {
 			st := "usable"
@@ -54,7 +54,7 @@
 }
 
 func serverRetire(ctx context.Context, cmd *cli.Command, c *client.Client) error {
-	id, err := argument(cmd, 0, "the ID of the backend server")
+	id, err := requiredArgument(cmd, 0, "the ID of the backend server")
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 		return err
 	}
 	if res.Code != state.CodeExists {
-		if err := report(cmd, res); err != nil {
+		if err := printResult(cmd, res); err != nil {
 			return err
 		}
 	}
@@ -72,7 +72,7 @@
 
 func instanceCommand() *cli.Command {
 	return &cli.Command{Name: "instance", Usage: "list the instances", Commands: []*cli.Command{
-		{Name: "list", Usage: "show all instances", Action: online(instanceList)},
+		{Name: "list", Usage: "show all instances", Action: withClient(instanceList)},
 	}}
 }
 
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	return show(cmd, list, func(w io.Writer) {
+	return printOutput(cmd, list, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tZONE\tADDRESS\tREPLICA\tGENERATION\tLEASE\tDRAINING\tWAITING\tRUNNING\tREACHABLE")
 		for _, i := range list {
 			lease := "lapsed"
@@ -95,7 +95,7 @@
 
 func replicaCommand() *cli.Command {
 	return &cli.Command{Name: "replica", Usage: "show the replica group", Commands: []*cli.Command{
-		{Name: "status", Usage: "show leader, members and their lag. A replica whose disk was lost is replaced by itself when its instance starts with an empty data folder", Action: online(replicaStatus)},
+		{Name: "status", Usage: "show leader, members and their lag. A replica whose disk was lost is replaced automatically when its instance starts with an empty data folder", Action: withClient(replicaStatus)},
 	}}
 }
 
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	return show(cmd, st, func(w io.Writer) {
+	return printOutput(cmd, st, func(w io.Writer) {
 		fmt.Fprintf(w, "group %x, term %d, commit %d, log from %d, %d calls remembered\n\n", st.Group, st.Term, st.CommitIndex, st.FirstLogIndex, st.RememberedCalls)
 		fmt.Fprintln(w, "ID\tADDRESS\tROLE\tBEHIND\tACTIVE")
 		for _, m := range st.Members {
@@ -126,7 +126,7 @@
 
 func auditCommand() *cli.Command {
 	return &cli.Command{Name: "audit", Usage: "show and verify the audit trail",
-		Flags: []cli.Flag{&cli.UintFlag{Name: "after", Usage: "start behind this sequence number"}}, Action: online(auditList)}
+		Flags: []cli.Flag{&cli.UintFlag{Name: "after", Usage: "start after this sequence number"}}, Action: withClient(auditList)}
 }
 
 func auditList(ctx context.Context, cmd *cli.Command, c *client.Client) error {
@@ -137,7 +137,7 @@
 	if err := state.VerifyAudit(list); err != nil {
 		return cli.Exit(err.Error(), ExitFailed)
 	}
-	return show(cmd, list, func(w io.Writer) {
+	return printOutput(cmd, list, func(w io.Writer) {
 		fmt.Fprintln(w, "SEQ\tAT\tOPERATOR\tORDER\tVERSION\tSERVER\tGENERATION\tHASH")
 		for _, e := range list {
 			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%s\t%d -> %d\t%s\n", e.Sequence, time.UnixMilli(e.AtMillis).UTC().Format(time.RFC3339), e.Operator, e.Kind, e.Version, e.Server, e.GenerationBefore, e.GenerationAfter, e.Hash[:12])
--- a/ctl/harness/harness.go
+++ b/ctl/harness/harness.go
@@ -90,11 +90,11 @@
 	if err != nil {
 		return nil, err
 	}
-	frameSecret, err := commands.Secret()
+	frameSecret, err := commands.NewSecret()
 	if err != nil {
 		return nil, err
 	}
-	sharedToken, err := commands.Secret()
+	sharedToken, err := commands.NewSecret()
 	if err != nil {
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 	c := &Cluster{Options: o, CustomerKeys: map[string]string{}, sharedToken: sharedToken, frameSecret: frameSecret, network: findFreeNetwork()}
 	c.ControlAddress = c.network + ".250:7300"
 	for _, name := range o.Customers {
-		if c.CustomerKeys[name], err = commands.Secret(); err != nil {
+		if c.CustomerKeys[name], err = commands.NewSecret(); err != nil {
 			return nil, err
 		}
 	}
@@ -184,7 +184,7 @@
 // bundle and returns it.
 func (c *Cluster) CompleteBundle(b *bundle.Bundle) *bundle.Bundle {
 	for name, pool := range b.Pools {
-		pool.AnnounceTokens = []string{commands.Digest(c.sharedToken)}
+		pool.AnnounceTokens = []string{commands.SecretDigest(c.sharedToken)}
 		b.Pools[name] = pool
 	}
 	if b.Customers == nil {
@@ -192,7 +192,7 @@
 	}
 	for name, key := range c.CustomerKeys {
 		customer := b.Customers[name]
-		customer.Keys = []string{commands.Digest(key)}
+		customer.Keys = []string{commands.SecretDigest(key)}
 		if customer.Weight == 0 {
 			customer.Weight = 1
 		}
--- a/ctl/internal/bench/main.go
+++ b/ctl/internal/bench/main.go
@@ -176,7 +176,7 @@
 	faultResult := make(chan error, 1)
 	time.AfterFunc(p.Duration()/4, func() { faultResult <- inject(ctx, c) })
 	target := &load.Target{Instances: c.Client.Addresses, Keys: c.CustomerKeys, Zones: p.Fleet.Zones}
-	samples := load.Run(ctx, p, target, arrivals, commands.ShowProgress)
+	samples := load.Run(ctx, p, target, arrivals, commands.PrintProgress)
 	fmt.Fprintln(os.Stderr)
 	if err := <-faultResult; err != nil {
 		return nil, err
