--- a/ctl/explain/explain.go
+++ b/ctl/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain tells the story of one call from the logs of many processes.
+// Package explain collects from the logs of many processes the lines that explain the
+// outcome of one call.
 package explain
 
 import (
@@ -14,13 +15,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLine bounds one log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest log line that is read.
+const maxLineBytes = 1 << 20
 
-// around is how far from the call a belief or an event may lie to be told.
-const around = 3 * time.Second
+// eventWindow is the longest time between the call's end and an event that may be related
+// to it.
+const eventWindow = 3 * time.Second
 
-// Line is one JSON line of a log.
+// Line is a line of a log, in JSON.
 type Line struct {
 	Fields  map[string]any `json:"fields"`
 	Level   string         `json:"level"`
@@ -28,6 +30,7 @@
 	Message string         `json:"message"`
 }
 
+// text returns a field as text, empty if the line lacks it.
 func (l *Line) text(field string) string {
 	v, ok := l.Fields[field]
 	if !ok {
@@ -36,97 +39,99 @@
 	return fmt.Sprint(v)
 }
 
-// Story is what the logs hold about one call, in order of time.
-type Story struct {
-	// Call are the lines about the call itself.
-	Call []Line
-	// Beliefs are the latest lines, before the call's end, on what its instances
-	// held: the declaration, the replica group, their own start.
-	Beliefs []Line
-	// Events are lines of any process near the call that name a server it was
-	// sent to, or tell that an instance started or left; and the rulings of the
-	// quarantine on its request.
+// Explanation holds the log lines that explain one call. Each list is sorted by time.
+type Explanation struct {
+	// CallLines are about the call itself.
+	CallLines []Line
+	// InstanceState holds the lines that tell what the instances that handled the call
+	// knew when it ended, each the latest of its kind: the declaration, the replica group,
+	// their own start, and the request limits of the servers that the call waited for.
+	InstanceState []Line
+	// Events are lines of any process: those close to the call's end that name a server
+	// to which it was sent or report that an instance started or left, and all earlier
+	// quarantine decisions on its request.
 	Events []Line
-	// Unreadable counts lines that are no JSON.
-	Unreadable int
+	// SkippedLines counts the lines that are not JSON.
+	SkippedLines int
 }
 
-// Read collects the story of the call from logs.
-func Read(call string, logs ...io.Reader) (*Story, error) {
-	s := &Story{}
+// Read collects the lines that explain the call with an ID from logs.
+func Read(callID string, logs ...io.Reader) (*Explanation, error) {
+	e := &Explanation{}
 	var others []Line
 	for _, r := range logs {
-		if err := s.scan(call, r, &others); err != nil {
+		if err := e.scan(callID, r, &others); err != nil {
 			return nil, err
 		}
 	}
-	if len(s.Call) == 0 {
-		return s, nil
+	if len(e.CallLines) == 0 {
+		return e, nil
 	}
-	byTime(s.Call)
-	byTime(others)
-	s.pick(others)
-	return s, nil
+	sortByTime(e.CallLines)
+	sortByTime(others)
+	e.selectRelated(others)
+	return e, nil
 }
 
-func (s *Story) scan(call string, r io.Reader, others *[]Line) error {
-	in := bufio.NewScanner(r)
-	in.Buffer(nil, maxLine)
-	for in.Scan() {
-		text := in.Bytes()
-		start := strings.IndexByte(string(text), '{') // a collector may put its own words first
+// scan adds the lines about the call to e and those that are about no call to others.
+func (e *Explanation) scan(callID string, r io.Reader, others *[]Line) error {
+	lines := bufio.NewScanner(r)
+	lines.Buffer(nil, maxLineBytes)
+	for lines.Scan() {
+		text := lines.Bytes()
+		start := strings.IndexByte(string(text), '{') // log collectors may add a prefix
 		var l Line
 		if start < 0 || json.Unmarshal(text[start:], &l) != nil {
-			s.Unreadable++
+			e.SkippedLines++
 			continue
 		}
 		switch {
-		case l.text("call") == call:
-			s.Call = append(s.Call, l)
+		case l.text("call") == callID:
+			e.CallLines = append(e.CallLines, l)
 		case l.text("call") == "":
 			*others = append(*others, l)
 		}
 	}
-	return eris.Wrap(in.Err(), "read log")
+	return eris.Wrap(lines.Err(), "read log")
 }
 
-func byTime(list []Line) {
+func sortByTime(list []Line) {
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Time.Before(list[j].Time) })
 }
 
-// pick chooses from the lines that are not about calls.
-func (s *Story) pick(others []Line) {
-	end := s.Call[len(s.Call)-1].Time
-	instances, servers := s.parties()
-	requests := s.requests()
-	pools := s.pools()
-	held := map[string]Line{}
+// selectRelated adds to e those of the lines about no call that are related to this one.
+func (e *Explanation) selectRelated(others []Line) {
+	end := e.CallLines[len(e.CallLines)-1].Time
+	instances, servers := e.involved()
+	digests := e.requestDigests()
+	pools := e.limitedPools()
+	latest := map[string]Line{}
 	for _, l := range others {
 		instance := l.text("instance")
 		switch {
-		case slices.Contains(instances, instance) && !l.Time.After(end) && isBelief(&l):
-			held[instance+l.Message] = l
-		case !l.Time.After(end) && l.Fields["standing"] != nil && slices.Contains(requests, l.text("request")):
-			s.Events = append(s.Events, l) // however long ago: a hold lasts minutes
-		case l.text("step") == limitStep && slices.Contains(pools, l.text("pool")):
+		case slices.Contains(instances, instance) && !l.Time.After(end) && reportsInstanceState(&l):
+			latest[instance+l.Message] = l
+		case !l.Time.After(end) && l.Fields["standing"] != nil && slices.Contains(digests, l.text("request")):
+			e.Events = append(e.Events, l) // at any time before: a quarantine lasts minutes
+		case l.text("step") == limitReadStep && slices.Contains(pools, l.text("pool")):
 			if slices.Contains(instances, instance) && !l.Time.After(end) {
-				held[instance+limitStep+l.text("server")] = l // the latest of each server
+				latest[instance+limitReadStep+l.text("server")] = l
 			}
-		case l.Time.Sub(end).Abs() <= around && (slices.Contains(servers, l.text("server")) || isArrival(&l)):
-			s.Events = append(s.Events, l)
+		case l.Time.Sub(end).Abs() <= eventWindow && (slices.Contains(servers, l.text("server")) || reportsStartOrLeave(&l)):
+			e.Events = append(e.Events, l)
 		}
 	}
-	for _, l := range held {
-		s.Beliefs = append(s.Beliefs, l)
+	for _, l := range latest {
+		e.InstanceState = append(e.InstanceState, l)
 	}
-	byTime(s.Beliefs)
+	sortByTime(e.InstanceState)
 }
 
-// parties returns the instances that handled the call and the servers that they
-// sent it to.
-func (s *Story) parties() (instances, servers []string) {
-	for i := range s.Call {
-		l := &s.Call[i]
+// involved returns the instances that handled the call and the servers to which they
+// sent it.
+func (e *Explanation) involved() (instances, servers []string) {
+	for i := range e.CallLines {
+		l := &e.CallLines[i]
 		instances = append(instances, l.text("instance"))
 		if tried, ok := l.Fields["tried"].([]any); ok {
 			for _, id := range tried {
@@ -137,59 +142,59 @@
 	return instances, servers
 }
 
-// limitStep marks the lines on the request limits that servers name.
-const limitStep = "read limit"
+// limitReadStep is the step of the lines about request limits that servers announce.
+const limitReadStep = "read limit"
 
-// pools returns the pools for whose limited servers the call waited.
-func (s *Story) pools() []string {
+// limitedPools returns the pools in which the call waited for servers with request limits.
+func (e *Explanation) limitedPools() []string {
 	var out []string
-	for i := range s.Call {
-		if s.Call[i].Fields["waited_for_limits_ms"] != nil {
-			out = append(out, s.Call[i].text("pool"))
+	for i := range e.CallLines {
+		if e.CallLines[i].Fields["waited_for_limits_ms"] != nil {
+			out = append(out, e.CallLines[i].text("pool"))
 		}
 	}
 	return out
 }
 
-// requests returns the digests of the call's request.
-func (s *Story) requests() []string {
+// requestDigests returns the digests of the call's request.
+func (e *Explanation) requestDigests() []string {
 	var out []string
-	for i := range s.Call {
-		if r := s.Call[i].text("request"); r != "" {
+	for i := range e.CallLines {
+		if r := e.CallLines[i].text("request"); r != "" {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// beliefs are the messages that change what an instance holds.
-var beliefs = []string{"declaration in force", "replica group does not answer", "replica group is back", "instance started", "settings reloaded", "draining"}
+// stateMessages are the beginnings of the messages that report the state of an instance.
+var stateMessages = []string{"declaration in force", "replica group does not answer", "replica group is back", "instance started", "settings reloaded", "draining"}
 
-func isBelief(l *Line) bool {
-	return slices.ContainsFunc(beliefs, func(m string) bool { return strings.HasPrefix(l.Message, m) })
+func reportsInstanceState(l *Line) bool {
+	return slices.ContainsFunc(stateMessages, func(prefix string) bool { return strings.HasPrefix(l.Message, prefix) })
 }
 
-func isArrival(l *Line) bool {
+func reportsStartOrLeave(l *Line) bool {
 	return l.Message == "instance started" || l.Message == "draining" || l.Message == "server leaves"
 }
 
-// Write tells the story in words.
-func (s *Story) Write(w io.Writer) error {
-	var b strings.Builder
-	if len(s.Call) == 0 {
-		b.WriteString("no line names this call: its entry was killed with it, the line was dropped (\"log lines dropped\"), or it never reached an entry\n")
+// Write prints the explanation as text.
+func (e *Explanation) Write(w io.Writer) error {
+	var out strings.Builder
+	if len(e.CallLines) == 0 {
+		out.WriteString("no line names this call: its entry was killed with it, the line was dropped (\"log lines dropped\"), or it never reached an entry\n")
 	}
-	section(&b, "the call", s.Call)
-	section(&b, "held by its instances at that time", s.Beliefs)
-	section(&b, "near it, elsewhere", s.Events)
-	if s.Unreadable > 0 {
-		fmt.Fprintf(&b, "%d lines are no JSON and were passed over\n", s.Unreadable)
+	writeSection(&out, "the call", e.CallLines)
+	writeSection(&out, "held by its instances at that time", e.InstanceState)
+	writeSection(&out, "near it, elsewhere", e.Events)
+	if e.SkippedLines > 0 {
+		fmt.Fprintf(&out, "%d lines are not JSON and were skipped\n", e.SkippedLines)
 	}
-	_, err := io.WriteString(w, b.String())
-	return eris.Wrap(err, "write story")
+	_, err := io.WriteString(w, out.String())
+	return eris.Wrap(err, "write explanation")
 }
 
-func section(b *strings.Builder, title string, list []Line) {
+func writeSection(b *strings.Builder, title string, list []Line) {
 	if len(list) == 0 {
 		return
 	}
@@ -197,14 +202,14 @@
 	for i := range list {
 		l := &list[i]
 		fmt.Fprintf(b, "  %s  %s: %s", l.Time.Format("15:04:05.000"), l.text("instance"), l.Message)
-		for _, name := range sortedNames(l.Fields) {
+		for _, name := range sortedFieldNames(l.Fields) {
 			fmt.Fprintf(b, " %s=%v", name, l.Fields[name])
 		}
 		b.WriteByte('\n')
 	}
 }
 
-func sortedNames(fields map[string]any) []string {
+func sortedFieldNames(fields map[string]any) []string {
 	var out []string
 	for name := range fields {
 		if name != "instance" {
--- a/ctl/explain/explain_test.go
+++ b/ctl/explain/explain_test.go
@@ -18,62 +18,62 @@
 {"fields":{"instance":"r1","server":"s1","phase":"departed"},"level":"info","timestamp":"2026-12-02T10:01:04Z","message":"server leaves"}
 `
 
-func TestStoryHasTheCallItsBeliefsAndWhatHappenedNear(t *testing.T) {
-	s, err := Read("c1", strings.NewReader(replicaLog), strings.NewReader(entryLog))
+func TestExplanationHasCallInstanceStateAndEvents(t *testing.T) {
+	e, err := Read("c1", strings.NewReader(replicaLog), strings.NewReader(entryLog))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Call) != 1 || len(s.Events) != 1 || s.Unreadable != 1 {
-		t.Fatalf("got %+v", s)
+	if len(e.CallLines) != 1 || len(e.Events) != 1 || e.SkippedLines != 1 {
+		t.Fatalf("got %+v", e)
 	}
-	if n := len(s.Beliefs); n != 2 || s.Beliefs[1].text("version") != "4" {
-		t.Errorf("beliefs are %+v; the declaration in force at that time was 4", s.Beliefs)
+	if n := len(e.InstanceState); n != 2 || e.InstanceState[1].text("version") != "4" {
+		t.Errorf("instance state is %+v; the declaration in force at that time was 4", e.InstanceState)
 	}
 	var out strings.Builder
-	if err := s.Write(&out); err != nil {
+	if err := e.Write(&out); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"e1: call failed", "reason=time is over", "r1: server leaves phase=draining", "version=4"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the story lacks %q:\n%s", want, out.String())
+			t.Errorf("the explanation lacks %q:\n%s", want, out.String())
 		}
 	}
 	if strings.Contains(out.String(), "version=5") || strings.Contains(out.String(), "departed") {
-		t.Errorf("the story tells what came later:\n%s", out.String())
+		t.Errorf("the explanation contains later lines:\n%s", out.String())
 	}
 }
 
-// A call that is kept from the servers is explained by what was ruled on its request
-// minutes before, at another instance.
-func TestStoryHasTheRulingsOnTheRequest(t *testing.T) {
-	judge := `{"fields":{"instance":"e9","request":"ab12","standing":"held","servers":["s1","s2","s3"]},"timestamp":"2026-12-02T09:50:00Z","message":"standing of a request under which servers ended"}
+// A call refused because its request is quarantined is explained by the quarantine
+// decision, which another instance may have logged minutes earlier.
+func TestExplanationHasQuarantineOfRequest(t *testing.T) {
+	quarantineLog := `{"fields":{"instance":"e9","request":"ab12","standing":"held","servers":["s1","s2","s3"]},"timestamp":"2026-12-02T09:50:00Z","message":"standing of a request under which servers ended"}
 {"fields":{"instance":"e9","request":"other","standing":"held","servers":["s7"]},"timestamp":"2026-12-02T09:51:00Z","message":"standing of a request under which servers ended"}
 `
-	kept := `{"fields":{"instance":"e1","call":"c2","status":503,"request":"ab12","reason":"kept from the servers"},"timestamp":"2026-12-02T10:00:06Z","message":"call failed"}
+	entryLog := `{"fields":{"instance":"e1","call":"c2","status":503,"request":"ab12","reason":"kept from the servers"},"timestamp":"2026-12-02T10:00:06Z","message":"call failed"}
 `
-	s, err := Read("c2", strings.NewReader(kept), strings.NewReader(judge))
+	e, err := Read("c2", strings.NewReader(entryLog), strings.NewReader(quarantineLog))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Events) != 1 || s.Events[0].text("request") != "ab12" {
-		t.Errorf("got %+v", s.Events)
+	if len(e.Events) != 1 || e.Events[0].text("request") != "ab12" {
+		t.Errorf("got %+v", e.Events)
 	}
 }
 
-func TestUnknownCallIsSaidSo(t *testing.T) {
-	s, err := Read("nobody", strings.NewReader(entryLog))
+func TestUnknownCallIsReported(t *testing.T) {
+	e, err := Read("nobody", strings.NewReader(entryLog))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	if err := s.Write(&out); err != nil || !strings.Contains(out.String(), "no line names this call") {
+	if err := e.Write(&out); err != nil || !strings.Contains(out.String(), "no line names this call") {
 		t.Errorf("got %q, %v", out.String(), err)
 	}
 }
 
-// A call that waited for servers with request limits, or was refused for them, is explained
-// by what its instance held of these servers, however long ago they had named them.
-func TestStoryHasTheLimitsThatACallWaitedFor(t *testing.T) {
+// A call that waited for servers with request limits, or was refused because of them, is
+// explained by the limits that its instance knew, even if they were announced long before.
+func TestExplanationHasLimitsThatCallWaitedFor(t *testing.T) {
 	log := `{"fields":{"instance":"e1","step":"read limit","pool":"p","server":"s1","per_second":3},"timestamp":"2026-12-02T09:10:00Z","message":"server names a request limit"}
 {"fields":{"instance":"e1","step":"read limit","pool":"p","server":"s2","per_second":4},"timestamp":"2026-12-02T09:11:00Z","message":"server names a request limit"}
 {"fields":{"instance":"e1","step":"read limit","pool":"p","server":"s2","per_second":2},"timestamp":"2026-12-02T09:12:00Z","message":"server names a request limit"}
@@ -82,11 +82,11 @@
 {"fields":{"instance":"e1","call":"c3","status":503,"pool":"p","waited_for_limits_ms":1,"reason":"servers take no more requests"},"timestamp":"2026-12-02T10:00:06Z","message":"call failed"}
 {"fields":{"instance":"e1","step":"read limit","pool":"p","server":"s1"},"timestamp":"2026-12-02T10:10:00Z","message":"server names no request limit any more"}
 `
-	s, err := Read("c3", strings.NewReader(log))
+	e, err := Read("c3", strings.NewReader(log))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Beliefs) != 2 || s.Beliefs[0].text("per_second") != "3" || s.Beliefs[1].text("per_second") != "2" {
-		t.Errorf("got %+v", s.Beliefs)
+	if len(e.InstanceState) != 2 || e.InstanceState[0].text("per_second") != "3" || e.InstanceState[1].text("per_second") != "2" {
+		t.Errorf("got %+v", e.InstanceState)
 	}
 }
