--- a/ctl/prove/bundles_test.go
+++ b/ctl/prove/bundles_test.go
@@ -18,7 +18,8 @@
 	"cardamomwick.example/ctl/harness"
 )
 
-// registerInput and registerOutput are one operation on the configuration.
+// registerInput and registerOutput describe an operation on the configuration: reading its
+// status or publishing a version.
 type registerInput struct {
 	read     bool
 	version  uint64
@@ -30,23 +31,24 @@
 	code       state.Code
 	generation uint64
 	version    uint64
-	winner     string
+	// winner is the digest that holds a version if the publish conflicts with it.
+	winner string
 }
 
-// registerState is the specification of a versioned register: which digest
-// holds each version, and the generation that each publish answered.
+// registerState is the state of the model, a versioned register: the digest of each
+// published version, and the generation that its publish returned.
 type registerState struct {
 	generation, highest uint64
 	digests             map[uint64]string
-	answers             map[uint64]uint64
+	generations         map[uint64]uint64
 }
 
-func (s registerState) with(version uint64, digest string) registerState {
+func (s registerState) withVersion(version uint64, digest string) registerState {
 	next := registerState{s.generation + 1, version, map[uint64]string{}, map[uint64]uint64{}}
 	for k, v := range s.digests {
-		next.digests[k], next.answers[k] = v, s.answers[k]
+		next.digests[k], next.generations[k] = v, s.generations[k]
 	}
-	next.digests[version], next.answers[version] = digest, next.generation
+	next.digests[version], next.generations[version] = digest, next.generation
 	return next
 }
 
@@ -54,32 +56,32 @@
 	Init: func() interface{} { return registerState{} },
 	Step: func(st, in, out interface{}) (bool, interface{}) {
 		s, i, o := st.(registerState), in.(registerInput), out.(registerOutput)
-		held, taken := s.digests[i.version]
+		published, exists := s.digests[i.version]
 		switch {
 		case i.read:
 			return o.generation == s.generation && o.version == s.highest, s
-		case taken && held == i.digest:
-			return o.code == state.CodeOK && o.generation == s.answers[i.version], s
-		case taken:
-			return o.code == state.CodeConflict && o.winner == held, s
+		case exists && published == i.digest:
+			return o.code == state.CodeOK && o.generation == s.generations[i.version], s
+		case exists:
+			return o.code == state.CodeConflict && o.winner == published, s
 		case i.expected != s.generation:
 			return o.code == state.CodeStale, s
 		case i.version <= s.highest:
 			return o.code == state.CodeConflict, s
 		}
-		next := s.with(i.version, i.digest)
+		next := s.withVersion(i.version, i.digest)
 		return o.code == state.CodeOK && o.generation == next.generation, next
 	},
 	Equal: func(a, b interface{}) bool { return fmt.Sprint(a) == fmt.Sprint(b) },
 }
 
-// history gathers operations with their times.
+// history records operations with their start and end times.
 type history struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
 }
 
-func (h *history) do(client int, in registerInput, f func() registerOutput) registerOutput {
+func (h *history) record(client int, in registerInput, f func() registerOutput) registerOutput {
 	call := time.Now().UnixNano()
 	out := f()
 	h.mu.Lock()
@@ -88,17 +90,18 @@
 	return out
 }
 
-// TestOperatorsRace: three operators publish equal version numbers at once and
-// resend, while the leader is killed again and again. The history must be that
-// of a versioned register: one winner, the same answer for every repeat.
+// TestOperatorsRace lets three operators publish different bundles under the same version
+// numbers at once and send each order twice, while the leader is killed repeatedly. The
+// history must be linearizable as a versioned register: one order wins each version, and a
+// repeated order gets the same answer.
 func TestOperatorsRace(t *testing.T) {
-	w := begin(t, 4, 0)
+	tc := startCluster(t, 4, 0)
 	const rounds = 14
 	h := &history{}
 	read := func(client int, c *client.Client) uint64 {
 		in := registerInput{read: true}
-		out := h.do(client, in, func() registerOutput {
-			st, err := c.Status(w.ctx)
+		out := h.record(client, in, func() registerOutput {
+			st, err := c.Status(tc.ctx)
 			if err != nil {
 				t.Error(err)
 			}
@@ -106,31 +109,31 @@
 		})
 		return out.generation
 	}
-	first := w.CompleteBundle(declarations(1))
+	first := tc.CompleteBundle(testBundle(1))
 	h.ops = append(h.ops, porcupine.Operation{Input: registerInput{version: 1, digest: first.Digest()}, Output: registerOutput{code: state.CodeOK, generation: 1}, Call: 0, Return: 1})
-	stop := w.watchGenerations()
+	stop := tc.watchGenerations()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for k := range rounds / 4 {
 			time.Sleep(700 * time.Millisecond)
-			l := w.leader()
-			l.Process().Kill()
+			leader := tc.leader()
+			leader.Process().Kill()
 			time.Sleep(1200 * time.Millisecond)
-			if err := w.StartInstance(l); err != nil {
+			if err := tc.StartInstance(leader); err != nil {
 				t.Error(err)
 			}
-			t.Logf("kill %d: leader %s", k+1, l.Name)
+			t.Logf("kill %d: leader %s", k+1, leader.Name)
 		}
 	}()
 	var wg sync.WaitGroup
 	for k := range 3 {
 		wg.Go(func() {
-			c := &client.Client{Key: w.Client.Key, Addresses: append(append([]string{}, w.Client.Addresses[k:]...), w.Client.Addresses[:k]...)}
+			c := &client.Client{Key: tc.Client.Key, Addresses: append(append([]string{}, tc.Client.Addresses[k:]...), tc.Client.Addresses[:k]...)}
 			for v := uint64(2); v < 2+rounds; v++ {
-				b := w.CompleteBundle(declarations(v))
+				b := tc.CompleteBundle(testBundle(v))
 				b.Description = fmt.Sprintf("by client %d", k)
-				w.raceOne(h, k, c, b, read)
+				tc.publishUntilDecided(h, k, c, b, read)
 			}
 		})
 	}
@@ -140,44 +143,44 @@
 	result := porcupine.CheckOperationsTimeout(registerModel, h.ops, 60*time.Second)
 	t.Logf("%d operations, linearizable: %v", len(h.ops), result)
 	if result != porcupine.Ok {
-		t.Fatalf("history is not that of a versioned register: %v", result)
+		t.Fatalf("history is not linearizable as a versioned register: %v", result)
 	}
 }
 
-// raceOne publishes one version until it is decided, then repeats the order as
-// after a lost answer.
-func (w *world) raceOne(h *history, id int, c *client.Client, b *bundle.Bundle, read func(int, *client.Client) uint64) {
-	for w.ctx.Err() == nil {
+// publishUntilDecided publishes a bundle until its version is decided, then repeats the
+// order as a client does after a lost answer.
+func (tc *testCluster) publishUntilDecided(h *history, id int, c *client.Client, b *bundle.Bundle, read func(int, *client.Client) uint64) {
+	for tc.ctx.Err() == nil {
 		o := c.SignPublishOrder(b, read(id, c))
 		in := registerInput{version: o.Version, digest: o.Digest, expected: o.Expected}
 		send := func() registerOutput {
-			res, err := c.SendOrder(w.ctx, o)
+			res, err := c.SendOrder(tc.ctx, o)
 			if err != nil {
-				w.t.Error(err)
+				tc.t.Error(err)
 			}
 			return registerOutput{res.Code, res.Order.Generation, 0, res.Order.WinnerDigest}
 		}
-		out := h.do(id, in, send)
+		out := h.record(id, in, send)
 		if out.code == state.CodeStale {
 			continue
 		}
-		if again := h.do(id, in, send); again != out {
-			w.t.Errorf("version %d: first answer %+v, repeat %+v", o.Version, out, again)
+		if repeated := h.record(id, in, send); repeated != out {
+			tc.t.Errorf("version %d: first answer %+v, repeat %+v", o.Version, out, repeated)
 		}
 		return
 	}
 }
 
-// watchGenerations checks that no instance, over its restarts, ever acts on a
-// lower generation than before.
-func (w *world) watchGenerations() (stop func()) {
-	ctx, cancel := context.WithCancel(w.ctx)
+// watchGenerations checks until stop is called that the generation of no instance
+// decreases, also over restarts.
+func (tc *testCluster) watchGenerations() (stop func()) {
+	ctx, cancel := context.WithCancel(tc.ctx)
 	var wg sync.WaitGroup
 	highest := map[string]uint64{}
 	samples := 0
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			list, err := w.Client.Instances(ctx)
+			list, err := tc.Client.Instances(ctx)
 			if err != nil {
 				continue
 			}
@@ -187,7 +190,7 @@
 				}
 				samples++
 				if i.Generation < highest[i.Name] {
-					w.t.Errorf("%s went back from generation %d to %d", i.Name, highest[i.Name], i.Generation)
+					tc.t.Errorf("generation of %s decreased from %d to %d", i.Name, highest[i.Name], i.Generation)
 				}
 				highest[i.Name] = max(highest[i.Name], i.Generation)
 			}
@@ -197,19 +200,19 @@
 	return func() {
 		cancel()
 		wg.Wait()
-		w.t.Logf("%d samples of generations at %d instances, none went back", samples, len(highest))
+		tc.t.Logf("%d samples of generations at %d instances, none decreased", samples, len(highest))
 	}
 }
 
-// TestRestartAfterManyChanges: after 500 changes every process is restarted,
-// twice, the second time all at once by SIGKILL: generation, version and audit
-// chain stand.
+// TestRestartAfterManyChanges restarts every process twice after 500 changes, first one at
+// a time, then all at once after SIGKILL. Generation, version, retirements and audit chain
+// must survive.
 func TestRestartAfterManyChanges(t *testing.T) {
-	w := begin(t, 4, 0)
+	tc := startCluster(t, 4, 0)
 	const changes = 500
 	start := time.Now()
 	for n := range changes {
-		res, err := w.Client.Retire(w.ctx, fmt.Sprintf("gone-%d", n))
+		res, err := tc.Client.Retire(tc.ctx, fmt.Sprintf("gone-%d", n))
 		must(t, err)
 		if res.Code != state.CodeOK {
 			t.Fatalf("change %d: %s", n, res.Message)
@@ -217,125 +220,126 @@
 	}
 	t.Logf("%d changes in %.1f s", changes, time.Since(start).Seconds())
 	want := uint64(1 + changes)
-	for _, i := range w.Instances {
+	for _, i := range tc.Instances {
 		must(t, i.Process().Stop(20*time.Second))
-		must(t, w.StartInstance(i))
-		must(t, w.WaitInstancesReady(w.ctx, want))
+		must(t, tc.StartInstance(i))
+		must(t, tc.WaitInstancesReady(tc.ctx, want))
 	}
-	for _, i := range w.Instances {
+	for _, i := range tc.Instances {
 		i.Process().Kill()
 	}
 	restart := time.Now()
-	must(t, w.StartAll())
-	must(t, w.WaitInstancesReady(w.ctx, want))
-	st, err := w.Client.Status(w.ctx)
+	must(t, tc.StartAll())
+	must(t, tc.WaitInstancesReady(tc.ctx, want))
+	st, err := tc.Client.Status(tc.ctx)
 	must(t, err)
-	list, err := w.Client.Audit(w.ctx, 0)
+	list, err := tc.Client.Audit(tc.ctx, 0)
 	must(t, err)
 	must(t, state.VerifyAudit(list))
-	t.Logf("all killed and back in %d ms: generation %d, %d retired, %d audit entries", time.Since(restart).Milliseconds(), st.Generation, len(st.Retired), len(list))
+	t.Logf("all killed and ready again after %d ms: generation %d, %d retired, %d audit entries", time.Since(restart).Milliseconds(), st.Generation, len(st.Retired), len(list))
 	if st.Generation != want || len(st.Retired) != changes || len(list) != int(want) {
 		t.Fatalf("generation %d, want %d", st.Generation, want)
 	}
-	res, err := w.Client.SendOrder(w.ctx, w.Client.SignPublishOrder(w.CompleteBundle(declarations(1)), 0))
+	res, err := tc.Client.SendOrder(tc.ctx, tc.Client.SignPublishOrder(tc.CompleteBundle(testBundle(1)), 0))
 	must(t, err)
 	if res.Code != state.CodeOK || res.Order.Generation != 1 {
-		t.Fatalf("the first order again: %+v, want its first answer", res)
+		t.Fatalf("the repeated first order got %+v, want its original result", res)
 	}
 }
 
-// TestSilentIsolation: for a minute the leader is cut off silently both ways,
-// and so is an entry. The rest goes on; the cut-off ones act on nothing, lead
-// nothing when they return, and catch up.
+// TestSilentIsolation drops all frames to and from the leader and an entry for a minute.
+// The other instances keep serving. The isolated ones must refuse all calls, must not
+// disturb the new leader when they return, and must catch up.
 func TestSilentIsolation(t *testing.T) {
-	w := begin(t, 5, 1)
-	leader, entry := w.leader(), w.Instances[4]
-	rest := w.others(leader, entry)
-	w.operateBy(rest...)
-	stop := w.watchGenerations()
-	must(t, w.Isolate(leader))
-	must(t, w.Isolate(entry))
-	time.Sleep(200 * time.Millisecond) // the daemons read their cut files every 100 ms
-	cut := time.Now()
-	w.accept(t, 2)
-	t.Logf("publish without the old leader: accepted and in force among the rest after %d ms", time.Since(cut).Milliseconds())
-	time.Sleep(2500*time.Millisecond - time.Since(cut))
-	refusedAt := 0
-	for time.Since(cut) < time.Minute {
-		for _, k := range []int{w.index(leader), 4} {
-			r := w.chat(k, "mood", "cut off", 2)
+	tc := startCluster(t, 5, 1)
+	leader, entry := tc.leader(), tc.Instances[4]
+	reachable := tc.indexesExcept(leader, entry)
+	tc.setClientInstances(reachable...)
+	stop := tc.watchGenerations()
+	must(t, tc.Isolate(leader))
+	must(t, tc.Isolate(entry))
+	time.Sleep(200 * time.Millisecond) // the daemons read their drop rules every 100 ms
+	isolated := time.Now()
+	tc.publishWithoutWait(t, 2)
+	t.Logf("publish without the old leader: accepted and in force on the reachable instances after %d ms", time.Since(isolated).Milliseconds())
+	time.Sleep(2500*time.Millisecond - time.Since(isolated))
+	refused := 0
+	for time.Since(isolated) < time.Minute {
+		for _, k := range []int{tc.index(leader), 4} {
+			r := tc.chat(k, "mood", "isolated", 2)
 			if r.Error == nil || r.Outcome != state.OutcomeNotRun {
-				t.Fatalf("cut-off instance %d answered %+v", k, r)
+				t.Fatalf("isolated instance %d answered %+v", k, r)
 			}
-			refusedAt++
+			refused++
 		}
-		if err := whole(w.chat(rest[0], "mood", "fine", 2)); err != nil {
+		if err := checkCompleted(tc.chat(reachable[0], "mood", "reachable", 2)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
 	}
-	before, err := w.Client.Status(w.ctx)
+	before, err := tc.Client.Status(tc.ctx)
 	must(t, err)
-	must(t, w.SetDropRules(leader))
-	must(t, w.SetDropRules(entry))
-	healed := time.Now()
-	must(t, w.WaitInstancesReady(w.ctx, 2))
-	back := time.Since(healed)
+	must(t, tc.SetDropRules(leader))
+	must(t, tc.SetDropRules(entry))
+	reconnected := time.Now()
+	must(t, tc.WaitInstancesReady(tc.ctx, 2))
+	recovery := time.Since(reconnected)
 	time.Sleep(2 * time.Second)
-	after, err := w.Client.Status(w.ctx)
+	after, err := tc.Client.Status(tc.ctx)
 	must(t, err)
 	stop()
-	t.Logf("%d calls to cut-off instances refused as not_run; back %d ms after healing; term %d before, %d after", refusedAt, back.Milliseconds(), before.Term, after.Term)
+	t.Logf("%d calls to isolated instances refused as not_run; ready %d ms after reconnecting; term %d before, %d after", refused, recovery.Milliseconds(), before.Term, after.Term)
 	if after.Term != before.Term {
 		t.Fatal("the return of the old leader disturbed the new one")
 	}
 }
 
-// accept publishes without waiting for instances that can't confirm.
-func (w *world) accept(t *testing.T, version uint64) {
-	res, err := w.Client.Publish(w.ctx, w.CompleteBundle(declarations(version)))
+// publishWithoutWait publishes a version without waiting until it is in force, because some
+// instances can't be reached.
+func (tc *testCluster) publishWithoutWait(t *testing.T, version uint64) {
+	res, err := tc.Client.Publish(tc.ctx, tc.CompleteBundle(testBundle(version)))
 	must(t, err)
 	if res.Code != state.CodeOK {
 		t.Fatal(res.Message)
 	}
 }
 
-// TestLostDisks: a replica's disk is lost and replaced; right after the repair
-// a second one is lost. Nothing accepted is lost.
+// TestLostDisks loses the disk of one replica and, right after its replacement, that of a
+// second one. No accepted order may be lost.
 func TestLostDisks(t *testing.T) {
-	w := begin(t, 4, 0)
+	tc := startCluster(t, 4, 0)
 	for round, k := range []int{0, 1} {
-		lost := w.Instances[k]
-		old := w.memberAt(lost.PeerAddress)
+		lost := tc.Instances[k]
+		old := tc.memberID(lost.PeerAddress)
 		lost.Process().Kill()
 		must(t, os.RemoveAll(lost.DataFolder))
 		version := uint64(2 + round)
-		w.operateBy(w.others(lost)...)
-		w.accept(t, version)
+		tc.setClientInstances(tc.indexesExcept(lost)...)
+		tc.publishWithoutWait(t, version)
 		start := time.Now()
-		must(t, w.StartInstance(lost))
-		must(t, w.repaired(lost.PeerAddress, old))
-		t.Logf("disk of %s lost: repaired by a new replica after %d ms", lost.Name, time.Since(start).Milliseconds())
+		must(t, tc.StartInstance(lost))
+		must(t, tc.waitReplaced(lost.PeerAddress, old))
+		t.Logf("disk of %s lost: replaced by a new replica after %d ms", lost.Name, time.Since(start).Milliseconds())
 	}
-	w.operateBy(0, 1, 2, 3)
-	must(t, w.WaitInstancesReady(w.ctx, 3))
-	third := w.Instances[2]
+	tc.setClientInstances(0, 1, 2, 3)
+	must(t, tc.WaitInstancesReady(tc.ctx, 3))
+	third := tc.Instances[2]
 	third.Process().Kill()
-	w.operateBy(0, 1, 3)
-	w.accept(t, 4)
-	st, err := w.Client.Status(w.ctx)
+	tc.setClientInstances(0, 1, 3)
+	tc.publishWithoutWait(t, 4)
+	st, err := tc.Client.Status(tc.ctx)
 	must(t, err)
 	if st.Generation != 4 || len(st.Versions) != 4 {
 		t.Fatalf("generation %d with %d versions, want 4 and 4", st.Generation, len(st.Versions))
 	}
-	t.Log("with only the two repaired replicas left, the fourth version could be published and all stand")
+	t.Log("with only the two replaced replicas left, version 4 was published and all versions are stored")
 }
 
-// memberAt returns the ID of the member at an address.
-func (w *world) memberAt(address string) uint64 {
-	w.t.Helper()
-	st, err := w.Client.Status(w.ctx)
-	must(w.t, err)
+// memberID returns the ID of the member at an address, 0 if there is none.
+func (tc *testCluster) memberID(address string) uint64 {
+	tc.t.Helper()
+	st, err := tc.Client.Status(tc.ctx)
+	must(tc.t, err)
 	for _, m := range st.Members {
 		if m.Address == address {
 			return m.ID
@@ -344,11 +348,11 @@
 	return 0
 }
 
-// repaired waits until a new member at an address votes and the old one is
-// gone.
-func (w *world) repaired(address string, old uint64) error {
-	return harness.WaitFor(w.ctx, "replica repaired", func() bool {
-		st, err := w.Client.Status(w.ctx)
+// waitReplaced waits until a new member at an address is a voter and the old one has been
+// removed.
+func (tc *testCluster) waitReplaced(address string, old uint64) error {
+	return harness.WaitFor(tc.ctx, "replica replaced", func() bool {
+		st, err := tc.Client.Status(tc.ctx)
 		if err != nil || len(st.Members) != 3 {
 			return false
 		}
--- a/ctl/prove/limit_test.go
+++ b/ctl/prove/limit_test.go
@@ -11,18 +11,19 @@
 	"cardamomwick.example/ctl/fake"
 )
 
-// An engine that announces how many requests a second it takes gets no more from all
-// instances together, while the others take the rest, and its share again afterwards.
+// An engine that announces a request limit must not get more requests than that from all
+// instances together while the other engines take the rest, and must get its usual part
+// again after the limit ends.
 func TestAnnouncedLimitHoldsOverAllInstances(t *testing.T) {
 	const (
 		perSecond = 2.0
-		length    = 8 * time.Second
-		// slack covers the tokens that are there when the time begins.
-		slack = 3
-		// known is how long an announcement takes to reach the dispatcher.
-		known = 2 * time.Second
+		duration  = 8 * time.Second
+		// burst covers the tokens that are available at the start.
+		burst = 3
+		// announceDelay is the time until an announcement has reached the dispatcher.
+		announceDelay = 2 * time.Second
 	)
-	w := begin(t, 5, 4)
+	tc := startCluster(t, 5, 4)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	t.Cleanup(func() { close(stop); callers.Wait() })
@@ -33,33 +34,33 @@
 				case <-stop:
 					return
 				default:
-					must(t, whole(w.chat((i+n)%len(w.Instances), "mood", fmt.Sprintf("chat %d of %d", n, i), 8)))
+					must(t, checkCompleted(tc.chat((i+n)%len(tc.Instances), "mood", fmt.Sprintf("chat %d of %d", n, i), 8)))
 				}
 			}
 		})
 	}
 	limit := perSecond
-	must(t, w.AdjustEngine(fake.EngineAdjustment{Engine: "e1", RequestsPerSecond: &limit}))
-	time.Sleep(known)
-	if got, most := w.requestsIn("e1", length), int(perSecond*length.Seconds())+slack; got > most || got < most/2 {
-		t.Errorf("the engine got %d requests in %v; it takes %g a second", got, length, perSecond)
+	must(t, tc.AdjustEngine(fake.EngineAdjustment{Engine: "e1", RequestsPerSecond: &limit}))
+	time.Sleep(announceDelay)
+	if got, most := tc.requestsDuring("e1", duration), int(perSecond*duration.Seconds())+burst; got > most || got < most/2 {
+		t.Errorf("the engine got %d requests in %v; its limit is %g a second", got, duration, perSecond)
 	}
-	must(t, w.AdjustEngine(fake.EngineAdjustment{Engine: "e1"}))
-	time.Sleep(known)
-	if got := w.requestsIn("e1", time.Second); got < 10 {
-		t.Errorf("the engine got %d requests in the second after its limit has ended", got)
+	must(t, tc.AdjustEngine(fake.EngineAdjustment{Engine: "e1"}))
+	time.Sleep(announceDelay)
+	if got := tc.requestsDuring("e1", time.Second); got < 10 {
+		t.Errorf("the engine got %d requests in the second after its limit ended", got)
 	}
 }
 
-// requestsIn counts the requests that an engine gets in some time.
-func (w *world) requestsIn(engine string, length time.Duration) int {
-	w.t.Helper()
-	before, err := w.FakeServerState()
-	must(w.t, err)
-	time.Sleep(length)
-	after, err := w.FakeServerState()
-	must(w.t, err)
+// requestsDuring counts the requests that an engine gets in the next duration.
+func (tc *testCluster) requestsDuring(engine string, duration time.Duration) int {
+	tc.t.Helper()
+	before, err := tc.FakeServerState()
+	must(tc.t, err)
+	time.Sleep(duration)
+	after, err := tc.FakeServerState()
+	must(tc.t, err)
 	n := after.Engines[engine].Requests - before.Engines[engine].Requests
-	w.t.Logf("%s got %d requests in %v", engine, n, length)
+	tc.t.Logf("%s got %d requests in %v", engine, n, duration)
 	return n
 }
--- a/ctl/prove/once_test.go
+++ b/ctl/prove/once_test.go
@@ -17,7 +17,8 @@
 	"cardamomwick.example/ctl/harness"
 )
 
-// onceInput is a call with a key, or the count of its runs at the services.
+// onceInput is a call with a key or, if count is set, the final count of its executions at
+// the services.
 type onceInput struct {
 	key   string
 	count bool
@@ -26,12 +27,13 @@
 type onceOutput struct {
 	outcome state.Outcome // "" for no answer
 	repeat  bool
-	runs    int
+	// executions is the result of an operation with count set.
+	executions int
 }
 
-// onceModel: a key has run or not. An answer "completed" that is no repeat is
-// the one run; "unknown" and a lost answer leave both open; "not_run" is no
-// run. In the end the services' count tells which it was.
+// onceModel is the model of a key, which has run or has not. An answer "completed" that is
+// not marked as a repeat is the only execution, "not_run" means no execution, and after
+// "unknown" or a lost answer both are possible. The count of executions at the end decides.
 var onceModel = (&porcupine.NondeterministicModel{
 	Partition: func(list []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -49,7 +51,7 @@
 	Step: func(st, in, out interface{}) []interface{} {
 		ran, i, o := st.(bool), in.(onceInput), out.(onceOutput)
 		switch {
-		case i.count && o.runs == map[bool]int{true: 1, false: 0}[ran]:
+		case i.count && o.executions == map[bool]int{true: 1, false: 0}[ran]:
 			return []interface{}{ran}
 		case i.count:
 			return nil
@@ -67,22 +69,22 @@
 	Equal: func(a, b interface{}) bool { return a == b },
 }).ToModel()
 
-// onceHistory gathers calls with keys.
+// onceHistory records calls with keys.
 type onceHistory struct {
-	w   *world
+	tc  *testCluster
 	mu  sync.Mutex
 	ops []porcupine.Operation
 }
 
 func (h *onceHistory) call(client, entry int, key, body string) *caller.Result {
-	begin := time.Now().UnixNano()
-	r := h.w.dim(entry, key, body)
+	start := time.Now().UnixNano()
+	r := h.tc.callNonIdempotent(entry, key, body)
 	out := onceOutput{outcome: r.Outcome, repeat: r.Repeat}
 	if r.Transport != nil {
 		out.outcome = ""
 	}
 	if r.Transport == nil && r.Outcome == state.OutcomeCompleted && !r.Correct {
-		h.w.t.Errorf("key %s: the answer belongs to another request", key)
+		h.tc.t.Errorf("key %s: the answer belongs to another request", key)
 	}
 	end := time.Now().UnixNano()
 	if out.outcome == "" || out.outcome == state.OutcomeUnknown {
@@ -90,13 +92,14 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: onceInput{key: key}, Call: begin, Output: out, Return: end})
+	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: onceInput{key: key}, Call: start, Output: out, Return: end})
 	return r
 }
 
-// settle waits until the services are quiet, counts runs and checks.
-func (h *onceHistory) settle(wait time.Duration) {
-	h.w.t.Helper()
+// check waits for the calls that still run at the services, counts the executions of each
+// key and checks the history.
+func (h *onceHistory) check(wait time.Duration) {
+	h.tc.t.Helper()
 	time.Sleep(wait)
 	keys := map[string]bool{}
 	outcomes := map[string]int{}
@@ -105,23 +108,23 @@
 		outcomes[fmt.Sprintf("%q", op.Output.(onceOutput).outcome)]++
 	}
 	most, total := 0, 0
-	late := time.Now().Add(2 * time.Hour).UnixNano()
+	afterAll := time.Now().Add(2 * time.Hour).UnixNano()
 	for k := range keys {
-		n := h.w.runs(k)
+		n := h.tc.executionCount(k)
 		most = max(most, n)
 		total += n
-		h.ops = append(h.ops, porcupine.Operation{ClientId: 1 << 20, Input: onceInput{k, true}, Call: late, Output: onceOutput{runs: n}, Return: late + 1})
+		h.ops = append(h.ops, porcupine.Operation{ClientId: 1 << 20, Input: onceInput{k, true}, Call: afterAll, Output: onceOutput{executions: n}, Return: afterAll + 1})
 	}
-	h.w.t.Logf("%d keys, %d answers %v, %d runs, at most %d for one key", len(keys), len(h.ops)-len(keys), outcomes, total, most)
+	h.tc.t.Logf("%d keys, %d answers %v, %d executions, at most %d for one key", len(keys), len(h.ops)-len(keys), outcomes, total, most)
 	if r := porcupine.CheckOperationsTimeout(onceModel, h.ops, 60*time.Second); r != porcupine.Ok {
-		h.w.t.Fatalf("not at most once: %v", r)
+		h.tc.t.Fatalf("history is not linearizable as at most one execution per key: %v", r)
 	}
 }
 
-// volley sends a batch of calls with fresh keys through one entry and, while
-// they are under way, does harm to it; each key is then repeated through two
+// callWhileDisrupted sends calls with new keys through one entry and calls disrupt while they are
+// in flight. Each call that did not complete is then repeated through the first two of the
 // other entries at the same time.
-func (h *onceHistory) volley(entry int, others []int, calls int, harm func()) {
+func (h *onceHistory) callWhileDisrupted(entry int, others []int, calls int, disrupt func()) {
 	var wg sync.WaitGroup
 	for k := range calls {
 		key := caller.NewIdempotencyKey()
@@ -132,66 +135,66 @@
 			if r.Transport == nil && r.Outcome == state.OutcomeCompleted {
 				return
 			}
-			var both sync.WaitGroup
+			var repeats sync.WaitGroup
 			for _, o := range others[:2] {
-				both.Go(func() { h.call(1000+k*10+o, o, key, body) })
+				repeats.Go(func() { h.call(1000+k*10+o, o, key, body) })
 			}
-			both.Wait()
+			repeats.Wait()
 		})
 	}
 	time.Sleep(time.Duration(10+rand.Intn(30)) * time.Millisecond)
-	harm()
+	disrupt()
 	wg.Wait()
 }
 
-// TestOnceEntryKilled: the entry is killed before, at and after dispatch.
+// TestOnceEntryKilled kills the entry before, during and after the dispatch of calls.
 func TestOnceEntryKilled(t *testing.T) {
-	w := begin(t, 5, 0)
-	h := &onceHistory{w: w}
+	tc := startCluster(t, 5, 0)
+	h := &onceHistory{tc: tc}
 	for range 5 {
-		victim := w.Instances[3]
-		h.volley(3, []int{4, 0}, 30, func() { victim.Process().Kill() })
-		must(t, w.StartInstance(victim))
-		must(t, w.WaitInstancesReady(w.ctx, 1))
+		victim := tc.Instances[3]
+		h.callWhileDisrupted(3, []int{4, 0}, 30, func() { victim.Process().Kill() })
+		must(t, tc.StartInstance(victim))
+		must(t, tc.WaitInstancesReady(tc.ctx, 1))
 	}
-	h.settle(time.Second)
+	h.check(time.Second)
 }
 
-// TestOnceLeaderKilled: the leader of the replicas is killed meanwhile.
+// TestOnceLeaderKilled kills the leader of the replica group while calls are in flight.
 func TestOnceLeaderKilled(t *testing.T) {
-	w := begin(t, 5, 0)
-	h := &onceHistory{w: w}
+	tc := startCluster(t, 5, 0)
+	h := &onceHistory{tc: tc}
 	for range 4 {
-		l := w.leader()
-		h.volley(3, []int{4, 3}, 30, func() { l.Process().Kill() })
-		must(t, w.StartInstance(l))
-		must(t, w.WaitInstancesReady(w.ctx, 1))
+		leader := tc.leader()
+		h.callWhileDisrupted(3, []int{4, 3}, 30, func() { leader.Process().Kill() })
+		must(t, tc.StartInstance(leader))
+		must(t, tc.WaitInstancesReady(tc.ctx, 1))
 	}
-	h.settle(time.Second)
+	h.check(time.Second)
 }
 
-// TestOnceEntryFrozen: the entry is frozen, also between claim and dispatch,
-// for longer than every lease, and goes on later.
+// TestOnceEntryFrozen freezes the entry, also between claim and dispatch, for longer than
+// any lease lasts, and continues it.
 func TestOnceEntryFrozen(t *testing.T) {
-	w := begin(t, 5, 0)
-	h := &onceHistory{w: w}
+	tc := startCluster(t, 5, 0)
+	h := &onceHistory{tc: tc}
 	for range 4 {
-		victim := w.Instances[3]
-		h.volley(3, []int{4, 0}, 30, func() {
+		victim := tc.Instances[3]
+		h.callWhileDisrupted(3, []int{4, 0}, 30, func() {
 			victim.Process().Signal(syscall.SIGSTOP)
 			time.Sleep(3500 * time.Millisecond)
 			victim.Process().Signal(syscall.SIGCONT)
 		})
-		must(t, w.WaitInstancesReady(w.ctx, 1))
+		must(t, tc.WaitInstancesReady(tc.ctx, 1))
 	}
-	h.settle(3 * time.Second)
+	h.check(3 * time.Second)
 }
 
-// TestOnceServerSilent: the service takes the call and never answers, or cuts
-// the connection, or refuses to start it; the key is repeated by two others.
+// TestOnceServerSilent has the service accept the call and never answer, break the
+// connection, or refuse to start the call. The key is repeated through two other entries.
 func TestOnceServerSilent(t *testing.T) {
-	w := begin(t, 4, 0)
-	h := &onceHistory{w: w}
+	tc := startCluster(t, 4, 0)
+	h := &onceHistory{tc: tc}
 	var wg sync.WaitGroup
 	for k := range 24 {
 		kind := []string{"hang", "break", "refuse", "refuse-first"}[k%4]
@@ -199,44 +202,44 @@
 		body := fmt.Sprintf(`{"fake":%q,"lamp":%d}`, kind, k)
 		wg.Go(func() {
 			r := h.call(k, k%4, key, body)
-			var both sync.WaitGroup
-			both.Go(func() { h.call(100+k, (k+1)%4, key, body) })
-			both.Go(func() { h.call(200+k, (k+2)%4, key, body) })
-			both.Wait()
-			n := w.runs(key)
+			var repeats sync.WaitGroup
+			repeats.Go(func() { h.call(100+k, (k+1)%4, key, body) })
+			repeats.Go(func() { h.call(200+k, (k+2)%4, key, body) })
+			repeats.Wait()
+			n := tc.executionCount(key)
 			if (kind == "hang" || kind == "break") && (n != 1 || r.Outcome != state.OutcomeUnknown) {
-				t.Errorf("%s: %d runs, outcome %q; want 1 and unknown", kind, n, r.Outcome)
+				t.Errorf("%s: %d executions, outcome %q; want 1 and unknown", kind, n, r.Outcome)
 			}
 			if kind == "refuse" && (n != 0 || r.Outcome != state.OutcomeNotRun) {
-				t.Errorf("refuse: %d runs, outcome %q; want 0 and not_run", n, r.Outcome)
+				t.Errorf("refuse: %d executions, outcome %q; want 0 and not_run", n, r.Outcome)
 			}
 			if kind == "refuse-first" && r.Outcome == state.OutcomeCompleted && n != 1 {
-				t.Errorf("refuse-first: %d runs after completed", n)
+				t.Errorf("refuse-first: %d executions after completed", n)
 			}
 		})
 	}
 	wg.Wait()
-	h.settle(time.Second)
+	h.check(time.Second)
 }
 
-// TestDurableTakenOver: calls that must not be lost are recorded; when their
-// entry is killed before it could run them, another instance does.
+// TestDurableTakenOver kills the entry of durable calls before it has run them. Other
+// instances must run them.
 func TestDurableTakenOver(t *testing.T) {
-	w := begin(t, 5, 0)
-	victim := w.Instances[3]
+	tc := startCluster(t, 5, 0)
+	victim := tc.Instances[3]
 	var keys []string
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	accepted := 0
+	answered := 0
 	for k := range 20 {
 		key := caller.NewIdempotencyKey()
 		keys = append(keys, key)
 		wg.Go(func() {
-			r := w.call(3, "sync", key, fmt.Sprintf(`{"panel":%d,"delay_ms":1500}`, k))
+			r := tc.callService(3, "sync", key, fmt.Sprintf(`{"panel":%d,"delay_ms":1500}`, k))
 			mu.Lock()
 			defer mu.Unlock()
 			if r.Transport == nil {
-				accepted++
+				answered++
 			}
 		})
 	}
@@ -245,15 +248,15 @@
 	killed := time.Now()
 	wg.Wait()
 	open := 0
-	must(t, harness.WaitFor(w.ctx, "all recorded calls completed elsewhere", func() bool {
+	must(t, harness.WaitFor(tc.ctx, "all durable calls completed by other instances", func() bool {
 		open = 0
 		for k, key := range keys {
-			r := w.call(4, "sync", key, fmt.Sprintf(`{"panel":%d,"delay_ms":1500}`, k))
+			r := tc.callService(4, "sync", key, fmt.Sprintf(`{"panel":%d,"delay_ms":1500}`, k))
 			if r.Outcome != state.OutcomeCompleted {
 				open++
 			}
 		}
 		return open == 0
 	}))
-	t.Logf("%d calls in flight at the kill, %d had an answer; all completed by other instances %d ms after it", len(keys), accepted, time.Since(killed).Milliseconds())
+	t.Logf("%d calls in flight at the kill, %d had an answer; all completed by other instances %d ms after it", len(keys), answered, time.Since(killed).Milliseconds())
 }
--- a/ctl/prove/placement_test.go
+++ b/ctl/prove/placement_test.go
@@ -14,57 +14,57 @@
 	"cardamomwick.example/ctl/harness"
 )
 
-// TestEngineOrders: engines come to a new version one after another under load.
-// The instance that orders them is frozen in the middle for longer than its
-// lease; another one takes over, and when the old one wakes no engine is sent a
-// lower fencing number than it has seen, those that would obey it included.
+// TestEngineOrders updates the engines to a new version one after another under load. The
+// holder of the order lease is frozen in the middle for longer than its lease, so that
+// another instance takes over. When the former holder continues, no engine may get a lower
+// fencing number than it has seen, not even an engine that ignores fencing numbers.
 func TestEngineOrders(t *testing.T) {
-	w := begin(t, 5, 0)
-	w.FakeServers.Kill()
+	tc := startCluster(t, 5, 0)
+	tc.FakeServers.Kill()
 	var cfg fake.Config
 	const engines = 6
 	for n := range engines {
-		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: fmt.Sprintf("e%d", n+1), Address: w.ServerAddress(n + 1), Zone: "a", Pool: "lumen", Slots: slots,
+		cfg.Engines = append(cfg.Engines, fake.EngineConfig{ID: fmt.Sprintf("e%d", n+1), Address: tc.ServerAddress(n + 1), Zone: "a", Pool: "lumen", Slots: engineSlots,
 			StepBaseMicros: 8000, StepPerCallMicros: 300, PrefillTokensPerSecond: 20000, CachePrefixes: 64, LoadMillis: 400})
 	}
-	must(t, w.StartFakeServers(cfg))
-	must(t, w.WaitServersReady(w.ctx, engines))
-	f := w.flow(12, func(worker, n int) *caller.Result {
-		return w.chat(worker%2, "mood", fmt.Sprintf("%d %d", worker, n), 10)
+	must(t, tc.StartFakeServers(cfg))
+	must(t, tc.WaitServersReady(tc.ctx, engines))
+	f := tc.startTraffic(12, func(worker, n int) *caller.Result {
+		return tc.chat(worker%2, "mood", fmt.Sprintf("%d %d", worker, n), 10)
 	})
-	b := w.CompleteBundle(declarations(2))
+	b := tc.CompleteBundle(testBundle(2))
 	pool := b.Pools["lumen"]
 	pool.EngineVersion = "v2"
 	b.Pools["lumen"] = pool
-	res, err := w.Client.Publish(w.ctx, b)
+	res, err := tc.Client.Publish(tc.ctx, b)
 	must(t, err)
 	if res.Code != state.CodeOK {
 		t.Fatal(res.Message)
 	}
 	start := time.Now()
-	must(t, harness.WaitFor(w.ctx, "the first orders", func() bool { return w.onVersion("v2") >= 2 }))
-	orderer := w.orderer()
-	orderer.Process().Signal(syscall.SIGSTOP)
+	must(t, harness.WaitFor(tc.ctx, "the first orders", func() bool { return tc.enginesOnVersion("v2") >= 2 }))
+	holder := tc.orderLeaseHolder()
+	holder.Process().Signal(syscall.SIGSTOP)
 	frozen := time.Now()
-	w.operateBy(w.others(orderer)...)
-	must(t, harness.WaitFor(w.ctx, "all engines on the new version", func() bool { return w.onVersion("v2") == engines }))
-	t.Logf("first two engines after %d ms, all %d with the orderer frozen %d ms after that", frozen.Sub(start).Milliseconds(), engines, time.Since(frozen).Milliseconds())
-	b = w.CompleteBundle(declarations(3))
+	tc.setClientInstances(tc.indexesExcept(holder)...)
+	must(t, harness.WaitFor(tc.ctx, "all engines on the new version", func() bool { return tc.enginesOnVersion("v2") == engines }))
+	t.Logf("first two engines after %d ms, all %d with the lease holder frozen %d ms after that", frozen.Sub(start).Milliseconds(), engines, time.Since(frozen).Milliseconds())
+	b = tc.CompleteBundle(testBundle(3))
 	pool.EngineVersion = "v3"
 	b.Pools["lumen"] = pool
-	if _, err := w.Client.Publish(w.ctx, b); err != nil {
+	if _, err := tc.Client.Publish(tc.ctx, b); err != nil {
 		t.Fatal(err)
 	}
-	orderer.Process().Signal(syscall.SIGCONT)
-	must(t, harness.WaitFor(w.ctx, "all engines on the next version", func() bool { return w.onVersion("v3") == engines }))
-	list := f.end()
-	bad := 0
+	holder.Process().Signal(syscall.SIGCONT)
+	must(t, harness.WaitFor(tc.ctx, "all engines on the next version", func() bool { return tc.enginesOnVersion("v3") == engines }))
+	list := f.finish()
+	failed := 0
 	for _, r := range list {
-		if whole(r) != nil && r.Transport == nil {
-			bad++
+		if checkCompleted(r) != nil && r.Transport == nil {
+			failed++
 		}
 	}
-	st, err := w.FakeServerState()
+	st, err := tc.FakeServerState()
 	must(t, err)
 	orders, highest := 0, uint64(0)
 	for id, e := range st.Engines {
@@ -78,15 +78,16 @@
 		}
 		highest = max(highest, last)
 	}
-	t.Logf("%d orders, fences up to %d, never a lower one; %d calls meanwhile, %d not whole", orders, highest, len(list), bad)
-	if highest < 2 || bad > len(list)/100 {
-		t.Fatal("no take-over, or calls were lost")
+	t.Logf("%d orders, fences up to %d, none lower than before; %d calls meanwhile, %d failed", orders, highest, len(list), failed)
+	if highest < 2 || failed > len(list)/100 {
+		t.Fatal("no takeover of the order lease, or calls were lost")
 	}
 }
 
-func (w *world) onVersion(v string) int {
-	st, err := w.FakeServerState()
-	must(w.t, err)
+// enginesOnVersion counts the engines that run a version.
+func (tc *testCluster) enginesOnVersion(v string) int {
+	st, err := tc.FakeServerState()
+	must(tc.t, err)
 	n := 0
 	for _, e := range st.Engines {
 		if e.Version == v {
@@ -96,14 +97,14 @@
 	return n
 }
 
-// orderer returns the instance that logged taking the order lease last.
-func (w *world) orderer() *harness.Instance {
-	w.t.Helper()
-	for _, i := range w.Instances {
-		if w.LogContains(i, "order lease taken") {
+// orderLeaseHolder returns the first instance whose log shows that it took the order lease.
+func (tc *testCluster) orderLeaseHolder() *harness.Instance {
+	tc.t.Helper()
+	for _, i := range tc.Instances {
+		if tc.LogContains(i, "order lease taken") {
 			return i
 		}
 	}
-	w.t.Fatal("nobody took the order lease")
+	tc.t.Fatal("no instance took the order lease")
 	return nil
 }
