--- a/core/api/api.go
+++ b/core/api/api.go
@@ -37,8 +37,8 @@
 	HeaderAttempts       = "X-Attempts"
 )
 
-// Headers between entries and backend servers, besides HeaderRequestID and
-// HeaderIdempotencyKey.
+// Headers between entries, which are the instances that accept calls, and backend
+// servers, in addition to HeaderRequestID and HeaderIdempotencyKey.
 const (
 	HeaderAttempt  = "X-Attempt"
 	HeaderTier     = "X-Priority"
@@ -83,7 +83,7 @@
 	Reason string `json:"reason,omitempty"`
 	// RetryAfterMillis is how long to wait before a retry.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
-	// Addresses are other entries to which the call can be sent at once.
+	// Addresses are other entries to which the call can be sent immediately.
 	Addresses []string `json:"addresses,omitempty"`
 }
 
@@ -109,7 +109,7 @@
 	// Address has the form IP:port.
 	Address string `json:"address"`
 	Zone    string `json:"availability_zone"`
-	// Slots is how many calls the server runs at once.
+	// Slots is how many calls the server runs concurrently.
 	Slots   int `json:"slots"`
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
@@ -169,7 +169,7 @@
 	Content    []byte `json:"content"`
 }
 
-// AdminError is the body of an operator's refused request.
+// AdminError is the body of the response to a refused operator request.
 type AdminError struct {
 	Error string `json:"error"`
 }
--- a/core/api/duties.go
+++ b/core/api/duties.go
@@ -27,8 +27,8 @@
 // UsagePage is a page of the recorded windows.
 type UsagePage struct {
 	Records []UsageRecord `json:"records"`
-	// Late counts the runs reported after their window was closed, since the replica
-	// group was created.
+	// Late is the number of runs, counted since the replica group was created, that
+	// were reported only after their window was closed.
 	Late uint64 `json:"late"`
 	// More is set if there are windows after the last one of the page.
 	More bool `json:"more"`
--- a/core/balance/admit.go
+++ b/core/balance/admit.go
@@ -8,8 +8,8 @@
 // Admission parameters.
 const (
 	// longPromptSlotFactor times its slots is the number of calls, running or queued,
-	// from which an engine counts as full for long prompts. The factor exceeds 1
-	// because counts from peers are some hundred milliseconds old.
+	// from which an engine counts as full for long prompts. The factor exceeds 1 because
+	// counts from peers are a few hundred milliseconds old.
 	longPromptSlotFactor = 1.1
 	// targetMargin is the fraction of a call's target that the wait for its first
 	// event may take. Calls expected to take longer are queued behind those that can
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// Events delayed in transit arrive all at once. One such stream made every other
-// engine look a thousand times slower, and a single engine received the whole load.
+// Events delayed in transit arrive all at the same time. One such stream made every
+// other engine look a thousand times slower, and a single engine received the whole
+// load.
 func TestBufferedEventsDoNotSkewSlowness(t *testing.T) {
 	b, list := pool12()
 	regular, sudden := make([]time.Duration, 40), make([]time.Duration, 40)
@@ -177,7 +178,7 @@
 	home, _ := b.Choose(t0, "p", chat, nil, fixedRandom)
 	b.RecordFailure(t0, home.ID, true)
 	if got, _ := b.Choose(t0, "p", chat, nil, fixedRandom); got.ID == home.ID {
-		t.Error("a server that could not be reached was chosen again at once")
+		t.Error("a server that could not be reached was chosen again immediately")
 	}
 	if got, _ := b.Choose(t0.Add(avoidMax), "p", chat, nil, fixedRandom); got.ID != home.ID {
 		t.Error("the server was not tried again later")
--- a/core/balance/event_interval.go
+++ b/core/balance/event_interval.go
@@ -14,8 +14,8 @@
 	intervalBucket  = 8 * time.Second
 	// minStreamEvents is the number of events a stream must have to be used.
 	minStreamEvents = 8
-	// minIntervalRatio bounds an observation from below, relative to the pool's mean
-	// event interval: events delayed in transit arrive all at once.
+	// minIntervalRatio bounds an observation from below, relative to the pool's mean event
+	// interval: events delayed in transit arrive all at the same time.
 	minIntervalRatio = 0.5
 	// intervalWeight is the weight of an observation in the pool's mean event
 	// interval.
--- a/core/balance/limit_test.go
+++ b/core/balance/limit_test.go
@@ -60,7 +60,7 @@
 	return out
 }
 
-// Calls beyond a server's limit must go to the other servers.
+// Calls in excess of a server's limit must go to the other servers.
 func TestExcessCallsGoToUnlimitedServers(t *testing.T) {
 	b, list := pool12()
 	id := list[0].ID
--- a/core/balance/loss.go
+++ b/core/balance/loss.go
@@ -22,9 +22,9 @@
 	// the square of the occupancy, because the last slots are taken while a burst is
 	// still growing.
 	runningWeight = 0.8
-	// jitterLoss is the maximum random loss added to a server that is not the call's
-	// home. All instances see the same counts, some hundred milliseconds old; without
-	// it, the calls of a failed engine would all go to the same other engine.
+	// jitterLoss is the maximum random loss added to a server that is not the call's home.
+	// All instances see the same counts, a few hundred milliseconds old; without it, the
+	// calls of a failed engine would all go to the same other engine.
 	jitterLoss = 0.3
 	// fullLoss keeps calls off a server without free slots or KV cache while another one
 	// has capacity.
--- a/core/balance/report.go
+++ b/core/balance/report.go
@@ -30,7 +30,7 @@
 }
 
 // MemberReport returns the next message to this instance's collector, with the counts of
-// this instance and of the members in its subtree.
+// this instance and of those in its subtree.
 func (b *Balancer) MemberReport(now time.Time, collector string) counts.Message {
 	return b.message(now, b.peer(now, collector), counts.MemberReport)
 }
@@ -41,8 +41,8 @@
 	return b.message(now, b.peer(now, peer), counts.CollectorReport)
 }
 
-// MemberReply returns the next message to a member, with the counts that the member's own
-// reports do not cover and the boundaries in use here.
+// MemberReply returns the next message to a member, an instance that reports to this one,
+// with the counts that its own reports do not cover and the boundaries in use here.
 func (b *Balancer) MemberReply(now time.Time, member string) counts.Message {
 	return b.message(now, b.peer(now, member), counts.MemberReply)
 }
--- a/core/balance/sides.go
+++ b/core/balance/sides.go
@@ -21,12 +21,14 @@
 )
 
 // sides partitions a pool's engines into a long side, for long prompts, and a short
-// side, for all other calls.
+// side, for all other calls. The boundary is the current partition.
 type sides struct {
 	long, short meter
 	// meanLongTarget is the moving average of the long prompts' targets.
 	meanLongTarget time.Duration
-	share          float64
+	// share is the fraction of the engines on the long side. A move of the boundary
+	// changes it.
+	share float64
 	// engines are the IDs of the engines on the long side, sorted.
 	engines []string
 	// applied is the value of engines that was last applied to the servers.
@@ -125,29 +127,29 @@
 // their side, since each move loses the shared prefixes they have cached.
 func (b *Balancer) assignSides(now time.Time, p *pool, poolName string) {
 	s := &p.sides
-	var long, others []*server
+	var long, short []*server
 	for _, e := range p.servers {
 		switch {
 		case e.down(now):
 		case e.long:
 			long = append(long, e)
 		default:
-			others = append(others, e)
+			short = append(short, e)
 		}
 	}
-	if len(long)+len(others) == 0 {
+	if len(long)+len(short) == 0 {
 		return
 	}
-	b.updateShare(now, p, poolName, len(long)+len(others))
-	want := longCount(s.share, len(long)+len(others))
+	b.updateShare(now, p, poolName, len(long)+len(short))
+	want := longCount(s.share, len(long)+len(short))
 	sortStayFirst(long)
-	sortMoveFirst(others)
+	sortMoveFirst(short)
 	for len(long) < want {
-		long = append(long, others[0])
-		others = others[1:]
+		long = append(long, short[0])
+		short = short[1:]
 	}
-	long, others = long[:want], append(others, long[want:]...)
-	if now.Sub(s.swappedAt) >= swapPeriod && swapMisplaced(long, others) {
+	long, short = long[:want], append(short, long[want:]...)
+	if now.Sub(s.swappedAt) >= swapPeriod && swapMisplaced(long, short) {
 		s.swappedAt = now
 	}
 	s.engines = make([]string, 0, len(long))
@@ -162,25 +164,26 @@
 const swapPeriod = 3 * time.Second
 
 // swapMisplaced exchanges a fast engine of the long side for a slow one of the short
-// side, if there are such.
-func swapMisplaced(long, others []*server) bool {
+// side, if there are both. Slow engines belong on the long side: while they process
+// prompts continuously, their events are too late for a chat.
+func swapMisplaced(long, short []*server) bool {
 	fast := slices.IndexFunc(long, func(e *server) bool { return !e.slow })
-	slow := slices.IndexFunc(others, func(e *server) bool { return e.slow })
+	slow := slices.IndexFunc(short, func(e *server) bool { return e.slow })
 	if fast < 0 || slow < 0 {
 		return false
 	}
-	long[fast], others[slow] = others[slow], long[fast]
+	long[fast], short[slow] = short[slow], long[fast]
 	return true
 }
 
 // sortMoveFirst sorts engines by their suitability for the long side: slow ones first,
 // then those with the fewest latency-sensitive streams, which long prompts would delay.
-func sortMoveFirst(others []*server) {
-	sort.SliceStable(others, func(i, j int) bool {
-		if others[i].slow != others[j].slow {
-			return others[i].slow
+func sortMoveFirst(short []*server) {
+	sort.SliceStable(short, func(i, j int) bool {
+		if short[i].slow != short[j].slow {
+			return short[i].slow
 		}
-		return others[i].load().LatencySensitive < others[j].load().LatencySensitive
+		return short[i].load().LatencySensitive < short[j].load().LatencySensitive
 	})
 }
 
--- a/core/balance/streams.go
+++ b/core/balance/streams.go
@@ -14,8 +14,8 @@
 }
 
 const (
-	// eventWeight is the weight of one event interval in the average; some hundred are
-	// observed per second.
+	// eventWeight is the weight of one event interval in the average; a few hundred
+	// are observed per second.
 	eventWeight = 1.0 / 32
 	// streamWeight is the weight of one stream in the average number of events.
 	streamWeight = 1.0 / 16
--- a/core/capacity/demand.go
+++ b/core/capacity/demand.go
@@ -11,8 +11,8 @@
 	Long  float64 `msgpack:"l"`
 	// Running is the number of calls that run or wait at servers.
 	Running int `msgpack:"r"`
-	// RateLimited is the capacity lost to the request limits of servers, in servers: two
-	// that take half of the load of others count as one.
+	// RateLimited is the capacity lost to the request limits of servers, in server
+	// equivalents: two servers limited to half of the load of others count as one.
 	RateLimited float64 `msgpack:"w,omitempty"`
 }
 
--- a/core/capacity/need.go
+++ b/core/capacity/need.go
@@ -20,8 +20,8 @@
 func (p *Planner) observe(now time.Time, in *Input) {
 	for _, z := range in.Zones {
 		if z.ReclaimableLeaving > p.leaving[z.Name] {
-			// Ordered servers are being taken away, so that a new order may be given at
-			// once.
+			// The provider is reclaiming ordered servers. They no longer count as
+			// booting, so that the order may be repeated immediately.
 			if o := p.orders[ServerGroup{in.Pool, z.Name, true}]; o != nil && o.count > z.Reclaimable {
 				o.at = time.Time{}
 			}
--- a/core/capacity/planner.go
+++ b/core/capacity/planner.go
@@ -46,8 +46,8 @@
 	shrinkDelay    = 6 * time.Second
 	shrinkInterval = 4 * time.Second
 	// maxDecrease bounds by how much one order lowers a number. Each departing server is
-	// an entry of the replicated log before it is acknowledged; with hundreds at once
-	// the acknowledgements took seconds.
+	// an entry of the replicated log before it is acknowledged; with hundreds in one
+	// order the acknowledgements took seconds.
 	maxDecrease = 32
 	// replaceInterval is the minimum time between two decreases of regular servers that
 	// others have replaced: the time a departing server takes to announce it.
--- a/core/capacity/planner_test.go
+++ b/core/capacity/planner_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// reclaim takes away all reclaimable servers of a zone.
+// reclaim simulates that the provider reclaims all reclaimable servers of a zone.
 func (c *simulation) reclaim(zone string) {
 	z := c.zone(zone)
 	z.ReclaimableLeaving, z.Reclaimable = z.Reclaimable, 0
@@ -206,7 +206,7 @@
 		}
 		lowered++
 		if o.Count < 300-maxDecrease {
-			t.Errorf("order %+v lowers 300 servers at once", o)
+			t.Errorf("order %+v lowers the number by more than %d", o, maxDecrease)
 		}
 	}
 	if lowered == 0 {
--- a/core/capacity/scaling.go
+++ b/core/capacity/scaling.go
@@ -9,7 +9,7 @@
 	// Min and Max bound the servers of both kinds together in each zone.
 	Min int `msgpack:"l"`
 	Max int `msgpack:"m"`
-	// BootTime is the time from the order of a server until it takes work.
+	// BootTime is the time from the order of a server until it accepts work.
 	BootTime time.Duration `msgpack:"b"`
 	// ReclaimablePrice is the price of a reclaimable server relative to a regular one;
 	// zero if there are no reclaimable servers.
--- a/core/collect/collect.go
+++ b/core/collect/collect.go
@@ -3,7 +3,7 @@
 // Every instance that places calls has to know what all others have placed, within a few
 // hundred milliseconds. If each sent its counts to each, the number of messages would grow
 // with the square of the instances: 58 of them sent 33,000 a second, most of them between
-// availability zones, where traffic costs money. So each zone forms a tree: members report
+// availability zones, where traffic costs money. So each zone forms a tree: leaves report
 // to a group's collector, group collectors to the zone's collectors, and a collector
 // answers each report with the counts of everyone else; the collectors of the zones
 // exchange the sums of their zones. A zone with few members has no groups. A small number
@@ -28,13 +28,13 @@
 	// zones.
 	maxMeshMembers = 16
 	// collectorsPerZone provides a standby: the second collector holds all sums too, so
-	// that it can take over at once.
+	// that it can take over immediately.
 	collectorsPerZone = 2
 	// maxGroupMembers is the number of members that report to one collector: with the
 	// answers to them this is as many messages as the collectors of seven zones send each
 	// other.
 	maxGroupMembers = 16
-	// basePeriod is the usual time between two reports. Bursts build up over some hundred
+	// basePeriod is the usual time between two reports. Bursts build up over a few hundred
 	// milliseconds; a fifth of this period was no better.
 	basePeriod = 100 * time.Millisecond
 	// basePeriodMembers is the number of instances from which on the period grows with
@@ -45,8 +45,11 @@
 
 // Levels of an instance in the tree. Counts are sent up from lower levels only.
 const (
-	LevelMember uint8 = iota
+	// LevelLeaf instances collect no reports.
+	LevelLeaf uint8 = iota
+	// LevelGroup instances are the collectors of groups.
 	LevelGroup
+	// LevelZone instances are the collectors of zones, or form a full mesh.
 	LevelZone
 )
 
@@ -81,7 +84,7 @@
 		return Plan{Level: LevelZone, Peers: otherCollectors(zones, self.Name), Period: period}
 	}
 	collectors := zoneCollectors(zone)
-	level, list := placeBelowCollectors(index-len(collectors), zone[len(collectors):], collectors)
+	level, list := placeMember(index-len(collectors), zone[len(collectors):], collectors)
 	return Plan{Level: level, Collectors: list, Period: period}
 }
 
@@ -90,11 +93,12 @@
 	return max(basePeriod, basePeriod*time.Duration(members)/basePeriodMembers)
 }
 
-// placeBelowCollectors returns the level and the collectors of the member at an index of
-// those below the zone's collectors; the index is negative for one that is not listed yet.
-func placeBelowCollectors(index int, below, collectors []Member) (uint8, []Member) {
+// placeMember returns the level of a member that is not a collector of its zone, and the
+// collectors it reports to. index is its position in below, which lists the zone's members
+// that are not collectors of the zone; it is negative if the member is not listed yet.
+func placeMember(index int, below, collectors []Member) (uint8, []Member) {
 	if len(below) <= maxGroupMembers {
-		return LevelMember, collectors
+		return LevelLeaf, collectors
 	}
 	groups := (len(below) + maxGroupMembers) / (maxGroupMembers + 1)
 	if index >= 0 && index < groups {
@@ -103,7 +107,7 @@
 	own := max(0, index) % groups
 	list := append([]Member(nil), below[own:groups]...)
 	list = append(list, below[:own]...)
-	return LevelMember, append(list, collectors...)
+	return LevelLeaf, append(list, collectors...)
 }
 
 // otherCollectors returns the collectors of all zones, except the named instance.
--- a/core/collect/collect_test.go
+++ b/core/collect/collect_test.go
@@ -26,7 +26,8 @@
 }
 
 // The total number of messages must grow linearly with the instances, and no instance may
-// send more than a few hundred messages a second: at 376 instances in seven zones as at 30.
+// send more than a few hundred messages a second, with 30 instances as well as with 378 in
+// seven zones.
 func TestMessagesGrowWithTheInstances(t *testing.T) {
 	for _, size := range []struct{ zones, each int }{{5, 6}, {5, 12}, {5, 39}, {5, 76}, {7, 54}} {
 		list := newMembers(size.zones, size.each)
@@ -132,8 +133,9 @@
 	}
 }
 
-// Beyond some hundred instances the total number of messages stops growing: an instance
-// with few calls of its own must not increase the cost for all others.
+// Above about 200 instances the report period grows with their number, so that the total
+// message rate stays constant. Otherwise each added instance, although it receives a
+// smaller part of the calls, would increase the cost for all others.
 func TestTotalMessagesStopGrowing(t *testing.T) {
 	total := func(instances int) float64 {
 		list := newMembers(5, instances/5)
--- a/core/counts/counts_test.go
+++ b/core/counts/counts_test.go
@@ -322,7 +322,7 @@
 	return c.table.Version(i)
 }
 
-// A collector sends some hundred messages a second: it must not scan thousands of servers
+// A collector sends a few hundred messages a second: it must not scan thousands of servers
 // for each when few have changed.
 func TestSenderLooksOnlyAtChangedSlots(t *testing.T) {
 	view := &countingTable{table: tableOfEngines(3000)}
--- a/core/counts/message.go
+++ b/core/counts/message.go
@@ -55,13 +55,13 @@
 }
 
 // EventInterval aggregates the time between two events of a stream at one engine: the sum
-// of the values measured by a number of instances.
+// of the values observed by a number of instances.
 type EventInterval struct {
 	Microseconds uint32
 	Instances    uint32
 }
 
-// Add adds the measurements of other instances.
+// Add adds the values observed by other instances.
 func (e *EventInterval) Add(x EventInterval) {
 	e.Microseconds += x.Microseconds
 	e.Instances += x.Instances
--- a/core/counts/sender.go
+++ b/core/counts/sender.go
@@ -19,9 +19,10 @@
 	// maxUnacknowledged is the number of unacknowledged messages after which a new stream
 	// begins. Acknowledgements come with the messages in the other direction, one for each.
 	maxUnacknowledged = 10
-	// maxGoneServers is how many servers that no longer exist a stream may name beside
-	// those that do, before a new stream begins. In large fleets it is a fraction of the
-	// existing ones, since more servers come and go there, and a new stream sends all rows.
+	// maxGoneServers is how many servers that no longer exist may be numbered in a stream,
+	// in addition to those that do, before a new stream begins. In large fleets it is a
+	// fraction of the existing ones, since more servers come and go there, and a new stream
+	// sends all rows.
 	maxGoneServers = 128
 	maxGoneShare   = 0.25
 	// minIntervalChange is the relative change of an event interval from which on it is
@@ -100,14 +101,13 @@
 	s.numbers = map[string]uint32{}
 }
 
-// Content is what a message carries beside rows.
+// Content is what a message carries in addition to rows and limits.
 type Content struct {
 	// Kind determines which counts the rows hold; a change begins a new stream.
 	Kind  MessageKind
 	Uses  []Use
 	Rates []ArrivalRates
-	// Boundaries are sent when BoundariesVersion is not the one sent last; 0 stands for
-	// none.
+	// Boundaries are sent when BoundariesVersion is not the one sent last; 0 means none.
 	Boundaries        []Boundary
 	BoundariesVersion uint64
 	// Now is the time of the message.
@@ -142,7 +142,8 @@
 	return m
 }
 
-// maxNumbered is how many servers a stream may name for a view with so many slots.
+// maxNumbered returns the maximum number of servers numbered in a stream, for a view with
+// the given number of slots.
 func maxNumbered(slots int) int {
 	return slots + max(maxGoneServers, int(maxGoneShare*float64(slots)))
 }
@@ -262,6 +263,8 @@
 	return n
 }
 
+// wireBoundaries encodes the boundaries between the long and the short sides of pools, with
+// engines by their numbers in the stream.
 func (s *Sender) wireBoundaries(list []Boundary) []wireBoundary {
 	out := make([]wireBoundary, 0, len(list))
 	for _, b := range list {
--- a/core/dispatch/pool_test.go
+++ b/core/dispatch/pool_test.go
@@ -340,7 +340,7 @@
 }
 
 // A server that announces a request limit gets no more requests than that, higher tiers
-// first, and requests beyond the first of a grant count against the limit.
+// first. Additional requests under one grant also consume the limit.
 func TestAnnouncedRequestLimitHolds(t *testing.T) {
 	p := testPool(1, 100)
 	announce := func(now time.Time, perSecond *float64) {
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -184,8 +184,8 @@
 	return best, ticket
 }
 
-// deactivate takes a customer out of the heap, and deletes it if it has no tickets
-// and its virtual time is not ahead of the class's.
+// deactivate removes a customer from the heap, and deletes it if it has no tickets and
+// its virtual time is not ahead of the class's.
 func (c *classQueue) deactivate(q *customerQueue) {
 	if q.heapIndex >= 0 {
 		heap.Remove(&c.active, q.heapIndex)
--- a/core/dispatch/server.go
+++ b/core/dispatch/server.go
@@ -177,7 +177,7 @@
 }
 
 // updateSpeeds sets each server's speed from the median token rate. Fewer than three
-// measured servers give no meaningful median.
+// servers with a known rate give no meaningful median.
 func updateSpeeds(servers []*server) {
 	var rates []float64
 	for _, s := range servers {
--- a/core/dispatch/ticket.go
+++ b/core/dispatch/ticket.go
@@ -44,7 +44,7 @@
 	Attempt int `msgpack:"t"`
 }
 
-// Grant tells an entry to send a call to a server.
+// Grant instructs an entry to send a call to a server.
 type Grant struct {
 	ID      TicketID `msgpack:"i"`
 	Server  string   `msgpack:"s"`
@@ -64,7 +64,7 @@
 	ReasonUnknownClass Reason = "unknown_class"
 )
 
-// Refusal tells an entry to answer with the outcome not_run at once.
+// Refusal instructs an entry to answer with the outcome not_run immediately.
 type Refusal struct {
 	ID     TicketID `msgpack:"i"`
 	Reason Reason   `msgpack:"r"`
@@ -96,7 +96,7 @@
 	ID      string `msgpack:"i" json:"id"`
 	Address string `msgpack:"a" json:"address"`
 	Zone    string `msgpack:"z" json:"zone"`
-	// Slots is how many calls the server runs at once.
+	// Slots is how many calls the server runs concurrently.
 	Slots int `msgpack:"s" json:"slots"`
 	// Running and Queued are as reported by the server and may lag.
 	Running int `msgpack:"r" json:"running"`
--- a/core/dispatch/view.go
+++ b/core/dispatch/view.go
@@ -6,7 +6,7 @@
 type ServerView struct {
 	ServerInfo
 	// Granted is how many of this dispatcher's calls run on the server, OtherLoad the
-	// reported load beyond them.
+	// reported load in addition to them.
 	Granted   int     `msgpack:"g" json:"granted"`
 	OtherLoad int     `msgpack:"f" json:"foreign"`
 	Speed     float64 `msgpack:"p" json:"speed"`
--- a/core/duty/lease.go
+++ b/core/duty/lease.go
@@ -101,12 +101,12 @@
 	jitterShare   = 0.15
 )
 
-// TimingFor returns the timing with which a former holder doesn't act again within the
-// exclusive time after another holder has acted in between. A holder acts no later than
-// Validity after its last renewal, and another one TakeOver after it at the earliest.
-// The former holder then waits for TakeOver again, or for Cooldown. Late actions of the
-// former holder are rejected after the first action of the next one, which doesn't
-// release the lease before the exclusive time has passed.
+// TimingFor returns the timing which guarantees that if one holder acts and then another
+// one, the former doesn't act again within the exclusive time after its earlier action.
+// A holder acts no later than Validity after its last renewal, and another one TakeOver
+// after it at the earliest. The former holder then waits for TakeOver again, or for
+// Cooldown. Late actions of the former holder are rejected after the first action of the
+// next one, which doesn't release the lease before the exclusive time has passed.
 func TimingFor(exclusive time.Duration) Timing {
 	share := func(x float64) time.Duration { return time.Duration(x * float64(exclusive)) }
 	return Timing{Exclusive: exclusive, Validity: share(validityShare), TakeOver: share(takeOverShare),
--- a/core/duty/lease_test.go
+++ b/core/duty/lease_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestReleasedLeaseIsTakenByOthersAtOnce(t *testing.T) {
+func TestReleasedLeaseIsImmediatelyAvailableToOthers(t *testing.T) {
 	var s State
 	a, b := claimant("a"), claimant("b")
 	claim(a, &s, begin)
@@ -68,7 +68,7 @@
 		t.Fatal("the lease was not released")
 	}
 	if !claim(b, &s, now) {
-		t.Fatal("a released lease was not taken at once")
+		t.Fatal("a released lease was not granted immediately")
 	}
 	x, _ = b.Release(now.Add(time.Second))
 	s.Lease.Apply(x)
--- a/core/duty/schedule_test.go
+++ b/core/duty/schedule_test.go
@@ -131,12 +131,14 @@
 			if s.random.IntN(10) == 0 {
 				late = s.delay(10 * time.Second)
 			}
-			s.after(late, func() { s.provider(machine, fence) })
+			s.after(late, func() { s.receiveAction(machine, fence) })
 		})
 	})
 }
 
-func (s *simulation) provider(machine string, fence uint64) {
+// receiveAction is the provider's end of a call: it rejects outdated fencing tokens and
+// records the actions it accepts.
+func (s *simulation) receiveAction(machine string, fence uint64) {
 	if fence < s.maxFence {
 		return
 	}
--- a/core/fleet/changes.go
+++ b/core/fleet/changes.go
@@ -37,7 +37,7 @@
 	return s.term == p.Term && s.from <= p.Version && p.Version <= s.to
 }
 
-// changeKind tells how a server changed.
+// changeKind is the way in which a server changed.
 type changeKind uint8
 
 const (
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -3,8 +3,8 @@
 //
 // Announcements arrive late, out of order and through different instances; each start of a
 // server numbers its announcements. A start that has announced that it drains or departs
-// never becomes ready again, and one that a newer start of the same server has replaced
-// never comes back.
+// never becomes ready again, and one that a newer start of the same server has replaced is
+// never listed again.
 package fleet
 
 import (
@@ -22,7 +22,7 @@
 	return slices.BinarySearchFunc(list, id, func(s Server, id string) int { return cmp.Compare(s.ID, id) })
 }
 
-// Phase is what a backend server announces about whether it takes new work.
+// Phase is what a backend server announces about whether it accepts new work.
 type Phase uint8
 
 // Phases, in the order in which a server goes through them.
@@ -68,8 +68,8 @@
 	return s.Name
 }
 
-// AcceptsWork reports whether the server takes new work: it has announced that it is ready,
-// and is not overdue.
+// AcceptsWork reports whether the server accepts new work: it has announced that it is
+// ready, and is not overdue.
 func (s *Server) AcceptsWork() bool { return s.Phase == Ready && !s.Overdue }
 
 // equalExceptSequence reports whether two announcements differ at most in their sequence
@@ -118,8 +118,8 @@
 // Registry holds the servers known to one instance. Not safe for concurrent use.
 type Registry struct {
 	servers map[string]*record
-	// addresses and names index the servers: thousands announce themselves at once, and an
-	// announcement must not scan all of them.
+	// addresses and names index the servers: thousands announce themselves simultaneously,
+	// and an announcement must not scan all of them.
 	addresses, names index
 	// withdrawn holds the phase to which a server was withdrawn, whether it is listed here
 	// or not; withdrawalOrder holds the IDs in the order of recording.
--- a/core/fleet/mirror.go
+++ b/core/fleet/mirror.go
@@ -58,8 +58,8 @@
 	retainedUntil time.Time
 	// phases never go back, even if a leader with less information lists an earlier one.
 	phases map[string]Phase
-	// starts guards against a leader that has not heard of a server's newest start and
-	// lists an older one.
+	// starts guards against a leader that does not know a server's newest start and lists
+	// an older one.
 	starts Starts
 
 	// servers is the list returned last; it is never modified. changed holds the IDs of the
@@ -102,6 +102,9 @@
 	m.listed = make(map[string]Server, len(l.Servers))
 }
 
+// applyDelta applies the removals and withdrawals of a difference. Removed servers are gone
+// for good. Unlisted ones have not announced themselves to the new leader yet, and are kept
+// for retentionTime.
 func (m *Mirror) applyDelta(now time.Time, l Listing) {
 	for _, id := range l.Removed {
 		m.changed[id] = true
--- a/core/fleet/relay.go
+++ b/core/fleet/relay.go
@@ -145,8 +145,8 @@
 
 // Listing returns what an instance at a position lacks, or nil if it is up to date or ahead
 // of the relay. Without acrossTerms it returns a full listing after a change of the leader.
-// The result is shared and must not be modified: hundreds of instances ask at once, and
-// building a full listing takes milliseconds.
+// The result is shared and must not be modified: hundreds of instances request it
+// simultaneously, and building a full listing takes milliseconds.
 func (r *Relay) Listing(since Position, acrossTerms bool) *Listing {
 	current := r.Position()
 	if !current.isAfter(since) {
--- a/core/fleet/relay_test.go
+++ b/core/fleet/relay_test.go
@@ -197,7 +197,7 @@
 
 // While every engine is replaced, a watcher must be sent the changes, not 120 engines each
 // time.
-func TestReleaseIsSentAsDifferences(t *testing.T) {
+func TestRollingReplacementIsSentAsDeltas(t *testing.T) {
 	const engines = 120
 	r := NewRegistry()
 	for i := range engines {
@@ -298,8 +298,8 @@
 	}
 }
 
-// When the leader falls behind, all servers become overdue at once. Their heartbeats must
-// not each be forwarded as announcements because of that.
+// When the leader falls behind, all servers become overdue simultaneously. Their heartbeats
+// must not each be forwarded as announcements because of that.
 func TestHeartbeatsOfOverdueServersAreUpToDate(t *testing.T) {
 	leader, relay := NewRegistry(), &Relay{}
 	leader.Announce(t0, server("a", 1))
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,6 +1,9 @@
 // Package placement plans rolling updates of engines to the model version and adapters in
 // the bundle. It updates one engine of a pool at a time, so that the pool keeps serving.
-// It performs no I/O: the daemon holds the lease and records and sends the orders.
+// An order instructs an engine to load a version and its adapters.
+//
+// The package performs no I/O: the daemon holds the lease and records and sends the
+// orders.
 package placement
 
 import (
@@ -28,7 +31,7 @@
 
 // Planner issues engine orders and tracks the pending ones. Not safe for concurrent use.
 type Planner struct {
-	// open maps pools to the order that is being executed.
+	// pending maps pools to the order that is being executed.
 	pending map[string]pendingOrder
 }
 
--- a/core/quarantine/decision.go
+++ b/core/quarantine/decision.go
@@ -7,10 +7,12 @@
 
 // Limits of the quarantine.
 const (
-	// roundsToHold is the number of consecutive crashes, without a success in between,
-	// after which a request is held. While servers keep crashing, an unrelated request
-	// can be hit repeatedly: with 12 servers of which one crashes each second, one in 12
-	// calls of one second is hit once, one in 1,700 three times.
+	// roundsToHold is the number of rounds, without a success in between, after which a
+	// request is held. Rounds are consecutive crashes: the run of each round began after
+	// the crash of the previous one, so that simultaneous crashes are one round. While
+	// servers keep crashing, an unrelated request can be hit repeatedly: with 12 servers of
+	// which one crashes each second, one in 12 calls of one second is hit once, one in
+	// 1,700 three times.
 	roundsToHold = 3
 	// roundsToSuspect is the number of rounds after which instances report the request's
 	// successes.
@@ -54,7 +56,7 @@
 const (
 	// Cleared: the request has succeeded since it was suspected.
 	Cleared Status = iota
-	// Suspected: servers have crashed under the request, but too few for a hold.
+	// Suspected: servers have crashed while they ran the request, but too few for a hold.
 	Suspected
 	// Held: the request is not sent to servers.
 	Held
@@ -75,7 +77,8 @@
 	Age time.Duration `msgpack:"a"`
 	// Holds counts the holds of the request since its last success.
 	Holds int `msgpack:"n,omitempty"`
-	// Servers lists the server starts that crashed under the request, the latest last.
+	// Servers lists the server starts that crashed while they ran the request, the latest
+	// last.
 	Servers []string `msgpack:"e,omitempty"`
 }
 
--- a/core/quarantine/evaluator.go
+++ b/core/quarantine/evaluator.go
@@ -49,7 +49,7 @@
 //
 // A harmful request crashes each server that runs it and is sent again through any
 // instance. Each crash also breaks dozens of unrelated runs, some of which are retried
-// and hit by the next crash. Unrelated requests are told apart by two rules: they
+// and hit by the next crash. Unrelated requests are distinguished by two rules: they
 // succeed before three consecutive crashes, and a crash that is attributed to a held
 // request does not count against others. A crash among many simultaneous ones does not
 // count either, unless the request ran at those servers too. In that case the crashes
@@ -64,7 +64,7 @@
 
 // record is the evidence against a request.
 type record struct {
-	// prior counts the rounds behind a decision that was made before the record existed.
+	// prior counts the rounds that led to a decision made before the record existed.
 	prior int
 	// crashes holds all reported crashes, ordered by time.
 	crashes []crash
@@ -78,7 +78,7 @@
 	last        time.Time
 }
 
-// crash is one server crash under the request.
+// crash is the crash of a server while it ran the request.
 type crash struct {
 	server    string
 	began, at time.Time
@@ -143,8 +143,8 @@
 	return out
 }
 
-// reportHeld records a crash under a request that is already held, caused by a run that
-// had started before. The crash is then not counted against other requests.
+// reportHeld records a crash during a run of a request that is already held; the run had
+// started before the hold. The crash is then not counted against other requests.
 func (ev *Evaluator) reportHeld(now time.Time, e CrashReport) (Decision, bool) {
 	d, added := ev.registry.addServer(e.Request, e.Server)
 	if !added {
@@ -302,7 +302,7 @@
 	}
 }
 
-// evictCrash removes the oldest crash that does not form a round. Otherwise, many
+// evictCrash removes the oldest crash that is not counted as a round. Otherwise, many
 // simultaneous copies of a request would evict the earlier rounds.
 func (r *record) evictCrash() {
 	rounds := r.roundIndexes()
@@ -324,11 +324,11 @@
 	}
 }
 
-// rounds counts the consecutive crashes.
+// rounds returns the number of rounds (see roundsToHold).
 func (r *record) rounds() int { return len(r.roundIndexes()) }
 
-// roundIndexes returns the indexes of consecutive crashes: each run began after the
-// previous crash of the list.
+// roundIndexes returns the indexes of the crashes counted as rounds: each run began
+// after the previous crash of the list.
 func (r *record) roundIndexes() []int {
 	var out []int
 	var last time.Time
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -26,14 +26,14 @@
 	return &fixture{t, r, NewEvaluator(r), t0}
 }
 
-// reportCrash reports a server that has just crashed under a run started the given time
+// reportCrash reports a server that has just crashed during a run started the given time
 // before.
 func (f *fixture) reportCrash(request, server string, running time.Duration) {
 	f.ev.Report(f.now, CrashReport{Request: digest(request), Server: server, Began: running})
 }
 
-// reportCrashes reports n crashes under "q", one each second, at servers with the given
-// name prefix.
+// reportCrashes reports n crashes during runs of "q", one each second, at servers with
+// the given name prefix.
 func (f *fixture) reportCrashes(servers string, n int) {
 	for i := range n {
 		f.advance(time.Second)
@@ -93,8 +93,8 @@
 	f.expect("q", Held)
 }
 
-// Four copies of a request run at once through four entries, and each entry lists the
-// other servers as crashed too. The crashes must count, as the request ran at all of
+// Four copies of a request run simultaneously through four entries, and each entry lists
+// the other servers as crashed too. The crashes must count, as the request ran at all of
 // these servers.
 func TestCopiesAtSeveralEntriesAreHeld(t *testing.T) {
 	f := newFixture(t)
@@ -158,7 +158,7 @@
 }
 
 // Crashes that are attributed to a held request must not count against requests that ran
-// beside it, whether they were reported before the hold or after it.
+// at the same time, whether they were reported before the hold or after it.
 func TestCrashesOfHeldRequestDoNotCountAgainstOthers(t *testing.T) {
 	f := newFixture(t)
 	for i := range 3 {
@@ -350,7 +350,7 @@
 	}
 	for range 100 {
 		if n := len(f.registry.NextToSend(f.now)); n > maxSent {
-			t.Fatalf("%d decisions sent at once", n)
+			t.Fatalf("%d decisions sent in one message", n)
 		}
 	}
 }
@@ -381,14 +381,14 @@
 // Measures a crash report while registry and records are full.
 func BenchmarkReport(b *testing.B) {
 	r := NewRegistry()
-	j := NewEvaluator(r)
+	ev := NewEvaluator(r)
 	for i := range maxDecisions {
 		r.Merge(t0, Decision{Digest: digest(fmt.Sprint(i)), Status: Held, Holds: 1, Version: 1, Servers: []string{"a", "b", "c"}})
 	}
 	n := 0
 	for b.Loop() {
 		n++
-		j.Report(t0, CrashReport{Request: digest(fmt.Sprint("q", n)), Server: "s"})
+		ev.Report(t0, CrashReport{Request: digest(fmt.Sprint("q", n)), Server: "s"})
 	}
 }
 
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -103,8 +103,8 @@
 	return a.at.Before(b.at)
 }
 
-// addServer adds a server that crashed under a request with a decision, and reports
-// whether it is new.
+// addServer adds a server that crashed while it ran a request with a decision, and
+// reports whether it is new.
 func (r *Registry) addServer(request Digest, server string) (*datedDecision, bool) {
 	d := r.decisions[request]
 	return d, d.addServers([]string{server})
@@ -112,9 +112,9 @@
 
 // AttributedToOther reports whether the crash of a server is attributed to a held
 // request other than the given one.
-func (r *Registry) AttributedToOther(now time.Time, server string, besides Digest) bool {
+func (r *Registry) AttributedToOther(now time.Time, server string, request Digest) bool {
 	for digest, d := range r.decisions {
-		if digest != besides && d.Status == Held && now.Sub(d.at) < attributionTime && slices.Contains(d.Servers, server) {
+		if digest != request && d.Status == Held && now.Sub(d.at) < attributionTime && slices.Contains(d.Servers, server) {
 			return true
 		}
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-// maxSent bounds the decisions that are sent at once: 30 to 200 bytes each.
+// maxSent bounds the decisions that are sent in one message: 30 to 200 bytes each.
 const maxSent = 8
 
 // NextToSend returns the next few decisions in rotation, for instances that may have
--- a/core/quarantine/replay_test.go
+++ b/core/quarantine/replay_test.go
@@ -241,9 +241,9 @@
 	}
 }
 
-// Copies of a request arrive simultaneously at several entries, again and again, and
-// each call may run twice. Until the hold, each copy crashes a server with each of its
-// runs while nothing is known, and with one run at a time from the second round on:
+// Copies of a request arrive simultaneously at several entries, repeatedly, and each
+// call may run twice. Until the hold, each copy crashes a server with each of its runs
+// while nothing is known, and with one run at a time from the second round on:
 // copies x (runs + (proof + decision delay + transit) / pause).
 func TestCrashesBeforeHoldAreBounded(t *testing.T) {
 	const runs, pause = 2, 150 * time.Millisecond
--- a/core/ratelimit/bucket.go
+++ b/core/ratelimit/bucket.go
@@ -6,7 +6,7 @@
 )
 
 // tokenTime is how long a token may be used. Tokens kept for longer would accumulate
-// over hundreds of instances, and a burst could use all of them at once.
+// over hundreds of instances, and a burst could use all of them in one moment.
 const tokenTime = time.Second
 
 // Bucket is a token bucket of one instance for one server. Each token allows one
--- a/core/ratelimit/queue.go
+++ b/core/ratelimit/queue.go
@@ -5,6 +5,7 @@
 	// Rank orders waiters, 0 first. Within a rank, waiters that are not Late go first: a
 	// token given to a late call would make another call late.
 	Rank int
+	// Late is set if the call has already missed its target latency.
 	Late bool
 	// turn is the position in the order of joining; 0 before joining.
 	turn uint64
--- a/core/ratelimit/ratelimit_test.go
+++ b/core/ratelimit/ratelimit_test.go
@@ -8,7 +8,9 @@
 	"time"
 )
 
-// Limits on the requests that a server may receive, as documented by the platform.
+// Bounds documented by the platform: within any period of length window, a server with a
+// limit in requests per second receives at most excess x limit x window + slack
+// requests, with the window in seconds.
 const (
 	window = 4 * time.Second
 	excess = 1.5
@@ -185,7 +187,7 @@
 }
 
 // An instance that doesn't know the call rates of others takes an equal share. One that
-// is cut off must not take the whole limit at once.
+// no longer receives reports of others must raise its share only gradually.
 func TestShareWithoutReportsOfOthers(t *testing.T) {
 	now := time.Unix(0, 0)
 	var s Share
--- a/core/ratelimit/share.go
+++ b/core/ratelimit/share.go
@@ -12,7 +12,7 @@
 	minPerSecond = 0.25
 	// othersTime is the time constant with which the last known call rate of the other
 	// instances decays when no reports arrive. Instances that are cut off from each
-	// other must not use the whole limit at once.
+	// other must not each use the whole limit immediately.
 	othersTime = 3 * time.Second
 	// maxCallRate bounds the calls per second accepted from reports of others, so that a
 	// faulty instance can't reduce this one's share to nothing.
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// RecordAttempt records a first attempt.
-func (w *Window) RecordAttempt(now time.Time) {
+// RecordCall records a call; its retries are recorded by Take.
+func (w *Window) RecordCall(now time.Time) {
 	w.advance(now)
 	w.calls[w.epoch%windowBuckets]++
 }
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -24,7 +24,7 @@
 	start := time.Unix(1_800_000_000, 0)
 	for at := time.Duration(0); at < 40*time.Second; at += time.Duration(rnd.ExpFloat64() * float64(10*time.Millisecond)) {
 		w := windows[rnd.Intn(instances)]
-		w.RecordAttempt(start.Add(at))
+		w.RecordCall(start.Add(at))
 		events = append(events, event{at, false})
 		if w.Take(start.Add(at), instances) {
 			events = append(events, event{at, true})
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -120,7 +120,7 @@
 }
 
 // Only prompt-aware routes count; other routes to the same pool may have a lower tier.
-func TestLowestTierOfAPoolsPrompts(t *testing.T) {
+func TestLowestTierCountsOnlyPromptAwareRoutes(t *testing.T) {
 	to := func(pool string) []Target { return []Target{{Pool: pool, Weight: 1}} }
 	table := NewTable(&Declaration{Routes: []Route{
 		{Name: "chat", PathPrefix: "/a/", Tier: 0, PromptAware: true, Targets: to("llm")},
--- a/core/silence/silence.go
+++ b/core/silence/silence.go
@@ -5,9 +5,9 @@
 // has something to send: each request times out, and an instance that watches for changes
 // over it keeps an outdated declaration.
 //
-// A request may be answered late for good reasons: the peer holds it, its disk syncs, or a
-// group has no leader. So the peer is sent a probe, which it answers without any work, and
-// the connection is closed only if that is not answered.
+// A late answer does not mean that the connection has failed: the peer holds it, its disk
+// syncs, or a group has no leader. So the peer is sent a probe, which it answers without
+// any work, and the connection is closed only if that is not answered.
 //
 // The package does no I/O: the clock is passed in.
 package silence
@@ -37,11 +37,11 @@
 
 // Actions.
 const (
-	// NoAction is needed.
+	// NoAction means that nothing is to be done now.
 	NoAction Action = iota
-	// SendProbe asks the peer for a sign of life.
+	// SendProbe sends the peer a probe, which it answers immediately.
 	SendProbe
-	// CloseConnection gives up the connection.
+	// CloseConnection closes the connection.
 	CloseConnection
 )
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// Received records that something was received; pending tells whether requests are still
+// Received records that something was received; pending reports whether requests are still
 // awaiting a response.
 func (m *Monitor) Received(now time.Time, pending bool) {
 	*m = Monitor{}
@@ -79,8 +79,8 @@
 	}
 }
 
-// NextAction returns what to do now, and the time until the next call; zero for until
-// something is sent.
+// NextAction returns what to do now, and the time until the next call of NextAction; zero
+// if none is needed until something is sent.
 func (m *Monitor) NextAction(now time.Time) (Action, time.Duration) {
 	if !m.probedAt.IsZero() {
 		return m.actionAfterProbe(now)
--- a/core/silence/silence_test.go
+++ b/core/silence/silence_test.go
@@ -14,8 +14,8 @@
 	// set.
 	interval time.Duration
 	request  bool
-	// answerDelay is how long a request takes to be answered; negative for never. A probe
-	// is answered within 0.1 s if requests are answered at all.
+	// answerDelay is the time until a request is answered; negative for never. A probe is
+	// answered within 0.1 s if requests are answered at all.
 	answerDelay time.Duration
 }
 
@@ -50,7 +50,9 @@
 	return probes, 0
 }
 
-func TestSilentConnectionIsClosedBeforeADeclarationIsDue(t *testing.T) {
+// ProbeAfter and ProbeTimeout together are 1.2 s, which leaves time to fetch a declaration
+// over a new connection. After one-way messages it is 2.6 s.
+func TestSilentConnectionIsClosedInTime(t *testing.T) {
 	p := traffic{interval: 200 * time.Millisecond, request: true, answerDelay: -1}
 	if _, closedAt := p.run(30 * time.Second); closedAt == 0 || closedAt > 1300*time.Millisecond {
 		t.Errorf("closed after %v", closedAt)
@@ -70,7 +72,7 @@
 	}
 }
 
-// A peer that works on a request for seconds answers the probe at once.
+// A peer that works on a request for seconds answers the probe immediately.
 func TestSlowAnswerKeepsTheConnection(t *testing.T) {
 	p := traffic{interval: 20 * time.Second, request: true, answerDelay: 5 * time.Second}
 	if probes, closedAt := p.run(30 * time.Second); probes == 0 || closedAt > 0 {
--- a/core/state/duties.go
+++ b/core/state/duties.go
@@ -15,8 +15,8 @@
 	Claim duty.Claim `msgpack:"c"`
 }
 
-// EffectCommand records a duty's side effect. It is rejected unless the sender holds the
-// duty's lease in the given term.
+// EffectCommand records a duty's side effect, which is an external action of the duty's
+// holder. It is rejected unless the sender holds the duty's lease in the given term.
 type EffectCommand struct {
 	Duty   string `msgpack:"d"`
 	Holder string `msgpack:"o"`
--- a/core/state/duties_test.go
+++ b/core/state/duties_test.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// An effect sent under a previous term is rejected and changes nothing.
+// An effect, which is an external action of a duty's holder, is rejected if it was
+// sent under a previous term, and changes nothing.
 func TestEffectOfFormerHolderIsRejected(t *testing.T) {
 	m := New()
 	former := claimUsageDuty(t, m, "a")
--- a/core/state/placement.go
+++ b/core/state/placement.go
@@ -32,8 +32,8 @@
 	Lease duty.Lease `msgpack:"l"`
 	// Orders holds the latest order by server.
 	Orders map[string]EngineOrder `msgpack:"o"`
-	// LoadTokens is the level at RefilledAt of a token bucket that limits loads from the
-	// weight store.
+	// LoadTokens is the level at RefilledAt of a token bucket that limits the loading of
+	// model weights from the weight store.
 	LoadTokens float64 `msgpack:"t"`
 	RefilledAt int64   `msgpack:"a"`
 }
@@ -54,7 +54,7 @@
 	if o.Fence != cur.Term || o.Fence == 0 {
 		return Result{Code: CodeStale, Lease: &cur, Message: fmt.Sprintf("fence %d is not the current %d", o.Fence, cur.Term)}
 	}
-	if !s.takeLoad(perMinute, now) {
+	if !s.takeLoadToken(perMinute, now) {
 		return Result{Code: CodeRefused, Message: "the weight store's rate is used up"}
 	}
 	if s.Orders == nil || len(s.Orders) >= maxEngineOrders {
@@ -64,9 +64,10 @@
 	return Result{Code: CodeOK, Lease: &cur}
 }
 
-// takeLoad takes one token from the bucket, which has a capacity of ten seconds' worth
-// of loads, at least one. A rate of zero means no limit.
-func (s *placementState) takeLoad(perMinute float64, now int64) bool {
+// takeLoadToken takes one token from the bucket, one for each loading of model weights.
+// The bucket's capacity is the number of loadings in ten seconds, at least one. A rate
+// of zero means no limit.
+func (s *placementState) takeLoadToken(perMinute float64, now int64) bool {
 	if perMinute <= 0 {
 		return true
 	}
--- a/core/state/routing.go
+++ b/core/state/routing.go
@@ -21,8 +21,8 @@
 type routingState struct {
 	Declared    DeclareCommand     `msgpack:"h"`
 	Withdrawals []fleet.Withdrawal `msgpack:"w"`
-	// Servers are the backend servers that have announced themselves and not departed.
-	// A new leader, or a group that restarts, knows them at once.
+	// Servers are the backend servers that have announced themselves and not departed. A
+	// new leader, or a group that restarts, knows them immediately.
 	Servers []fleet.Server `msgpack:"f,omitempty"`
 	// Starts holds the newest start of each server with a persistent name, including
 	// departed servers, so that a new leader does not accept an older start.
--- a/core/usage/meter.go
+++ b/core/usage/meter.go
@@ -7,8 +7,8 @@
 
 // Bounds of a meter.
 const (
-	// maxRuns bounds the runs that wait for the agreed time, one minute of the busiest
-	// measured entry. Further runs are counted by the instance's own time of day.
+	// maxRuns bounds the runs that wait for the agreed time of day: about one minute at
+	// 136 runs a second. Further runs are counted by the instance's own time of day.
 	maxRuns = 8192
 	// maxRows bounds a report: 1,000 customers in four windows.
 	maxRows = 4096
@@ -19,9 +19,9 @@
 type Meter struct {
 	reporter string
 	length   time.Duration
-	// settle is how long after the end of a window the runs that began in it may still
-	// be recorded.
-	settle time.Duration
+	// settleTime is how long after the end of a window the runs that began in it may
+	// still be recorded.
+	settleTime time.Duration
 
 	runs []run
 	rows map[rowKey]uint32
@@ -40,9 +40,10 @@
 	customer string
 }
 
-// NewMeter returns the meter of the named process.
-func NewMeter(reporter string, window, settle time.Duration) *Meter {
-	return &Meter{reporter: reporter, length: window, settle: settle, rows: map[rowKey]uint32{}}
+// NewMeter returns the meter of the named process. settleTime is the longest time from
+// the start of a run until it is recorded.
+func NewMeter(reporter string, window, settleTime time.Duration) *Meter {
+	return &Meter{reporter: reporter, length: window, settleTime: settleTime, rows: map[rowKey]uint32{}}
 }
 
 // RecordRun counts a run that began at the given time; own is the instance's own time of
@@ -56,20 +57,20 @@
 }
 
 // NextReport returns the report to send now: the last one while it is not acknowledged,
-// otherwise a new one. agreed converts a time of the meter's clock to the agreed time of
-// day.
-func (m *Meter) NextReport(now time.Time, agreed func(time.Time) time.Time) *Report {
+// otherwise a new one. toAgreedTime converts a time of the meter's clock to the agreed
+// time of day, which ClockMedian determines from the clocks of all instances.
+func (m *Meter) NextReport(now time.Time, toAgreedTime func(time.Time) time.Time) *Report {
 	if m.sent != nil {
 		return m.sent
 	}
 	for _, x := range m.runs {
-		m.rows[rowKey{WindowAt(agreed(x.at), m.length), x.customer}]++
+		m.rows[rowKey{WindowAt(toAgreedTime(x.at), m.length), x.customer}]++
 	}
 	m.runs = m.runs[:0]
 	m.number++
 	m.sent = &Report{Reporter: m.reporter, Number: m.number, Rows: m.takeRows()}
 	if len(m.rows) == 0 {
-		m.sent.Through = WindowAt(agreed(now.Add(-m.settle)), m.length) - 1
+		m.sent.Through = WindowAt(toAgreedTime(now.Add(-m.settleTime)), m.length) - 1
 	}
 	return m.sent
 }
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -168,7 +168,8 @@
 	return r, true
 }
 
-// evictRecords drops the oldest windows beyond maxClosedRows, acknowledged ones first.
+// evictRecords drops the oldest windows in excess of maxClosedRows, acknowledged ones
+// first.
 func (l *Ledger) evictRecords() {
 	for l.Rows > maxClosedRows && len(l.Closed) > 1 {
 		at := slices.IndexFunc(l.Closed, func(r Record) bool { return r.Acknowledged })
--- a/core/warmup/warmup.go
+++ b/core/warmup/warmup.go
@@ -3,7 +3,7 @@
 //
 // When all instances lose power or are killed together, they are back within a second.
 // Callers retry once, immediately; an instance that refuses the retry because it has
-// no declaration yet ends the call, although the declaration arrives some hundred
+// no declaration yet ends the call, although the declaration arrives a few hundred
 // milliseconds later. Up to half of the calls left unserved in a day failed this way.
 // A call waits only while the declaration can still be expected and is refused
 // immediately otherwise.
@@ -25,9 +25,9 @@
 	// StartupWindow is how long after its start an instance expects a declaration. The
 	// very first declaration comes from an operator and may arrive at any time.
 	StartupWindow = 3 * time.Second
-	// maxCalls and maxBytes bound the waiting calls: ten times the calls that the
-	// busiest observed entry receives in 1.2 s (40 per second), and an eighth of the
-	// memory of the smallest entry.
+	// maxCalls and maxBytes bound the waiting calls. maxCalls allows ten times the
+	// calls of an entry that receives 40 per second, over MaxWait (1.2 s); maxBytes is
+	// an eighth of the memory of the smallest entry.
 	maxCalls = 512
 	maxBytes = 24 << 20
 )
--- a/daemon/router/call.go
+++ b/daemon/router/call.go
@@ -165,7 +165,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.RecordArrival(now, c.pool.Name, c.size)
-	r.budget(c.pool.Name).RecordAttempt(now)
+	r.budget(c.pool.Name).RecordCall(now)
 }
 
 // attempt makes one attempt at a server, under the watchdog and the attempt tracker.
