--- a/core/capacity/planner.go
+++ b/core/capacity/planner.go
@@ -38,7 +38,7 @@
 	// unavailableRetry is the pause before reclaimable servers are ordered again in a
 	// zone that has refused them: a quarter of a server's boot time.
 	unavailableRetry = time.Second
-	// orderRetry is the pause before an order that was not accepted is repeated.
+	// orderRetry is the pause before an order that was not accepted is retried.
 	orderRetry = 500 * time.Millisecond
 	// shrinkDelay is how long there must have been too many servers before their number
 	// is lowered, and shrinkInterval the minimum time between two such orders for one
@@ -68,7 +68,7 @@
 	// duty's holder it is the number that the previous orders leave after the loss of a
 	// zone.
 	initial int
-	// previous holds the orders of the previous holder. They are repeated once, which
+	// previous holds the orders of the previous holder. They are sent again once, which
 	// makes the provider reject orders of that holder that are still in transit.
 	// successor is set if there were any.
 	previous  Orders
--- a/core/capacity/planner_test.go
+++ b/core/capacity/planner_test.go
@@ -321,10 +321,10 @@
 	}
 }
 
-// A successor repeats the previous orders with its own fencing tokens and changes
+// A successor sends the previous orders again with its own fencing tokens and changes
 // nothing else; otherwise each change of the holder would add servers. An order without
-// a response is repeated after a pause.
-func TestSuccessorRepeatsPreviousOrders(t *testing.T) {
+// a response is retried after a pause.
+func TestSuccessorResendsPreviousOrders(t *testing.T) {
 	var previous Orders
 	in := Input{Pool: "p", Scaling: declared, Need: 4}
 	for _, zone := range []string{"a", "b", "c"} {
@@ -344,7 +344,7 @@
 	}
 	in.Zones[1].Reclaimable = 0 // b is the cheapest zone, a the second cheapest
 	if again := p.Next(begin.Add(100*time.Millisecond), in); len(again) != 0 {
-		t.Errorf("repeated without a pause: %v", again)
+		t.Errorf("retried without a pause: %v", again)
 	}
 	if again := fmt.Sprint(p.Next(begin.Add(time.Second), in)); again != "[{{p a true} 3}]" {
 		t.Errorf("after one second: %v", again)
--- a/core/quarantine/decision.go
+++ b/core/quarantine/decision.go
@@ -18,7 +18,7 @@
 	// roundsToHoldServed replaces roundsToHold for a request that was answered within
 	// recentSuccess before its first crash. When all servers crash in turn, none is left to
 	// answer identical calls such as health checks, and each crash hits some of them.
-	// The harmful request is held first, and the crashes are then attributed to it. A
+	// The crashing request is held first, and the crashes are then attributed to it. A
 	// request that servers could process before but no longer can is held three crashes
 	// later than others.
 	roundsToHoldServed = 6
@@ -36,7 +36,7 @@
 	// faster than any report of a success.
 	DecisionDelay = 150 * time.Millisecond
 	// retention is how long crashes are remembered without a decision, and a hold after
-	// its end. It exceeds any usual pause between two repeats of a request.
+	// its end. It exceeds any usual pause between two calls with the same request.
 	retention = 10 * time.Minute
 	// maxServers bounds the servers listed in a decision; the latest are kept.
 	maxServers = 8
--- a/core/quarantine/evaluator.go
+++ b/core/quarantine/evaluator.go
@@ -27,7 +27,7 @@
 const (
 	// SimultaneousWindow is the largest time between crashes that count as simultaneous.
 	// All connections of a process break within milliseconds. A longer window would let
-	// unrelated harmful requests, of which some arrive each second, excuse each other.
+	// unrelated crashing requests, of which some arrive each second, excuse each other.
 	SimultaneousWindow = 100 * time.Millisecond
 	// MaxOthers bounds the servers listed in a crash report. It is large enough to
 	// detect a mass crash even if the request itself ran at some of the servers.
@@ -47,7 +47,7 @@
 // crash reports for a request go to the same evaluator, on an instance selected by the
 // request's digest.
 //
-// A harmful request crashes each server that runs it and is sent again through any
+// A crashing request crashes each server that runs it and is sent again through any
 // instance. Each crash also breaks dozens of unrelated runs, some of which are retried
 // and hit by the next crash. Unrelated requests are told apart by two rules: they
 // succeed before three consecutive crashes, and a crash that is attributed to a held
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -241,13 +241,13 @@
 	for i := range 3 {
 		f.advance(20 * time.Millisecond)
 		f.reportCrash("identical", fmt.Sprint("s", i), 10*time.Millisecond)
-		f.reportCrash("lethal", fmt.Sprint("s", i), 10*time.Millisecond)
+		f.reportCrash("crashing", fmt.Sprint("s", i), 10*time.Millisecond)
 	}
 	f.expect("identical", Suspected)
 	f.advance(20 * time.Millisecond)
 	f.ev.RecordSuccess(f.now, digest("identical"), f.now.Add(-time.Millisecond))
 	f.advance(DecisionDelay)
-	if list := f.ev.Review(f.now); len(list) != 1 || list[0].Digest != digest("lethal") || list[0].Status != Held {
+	if list := f.ev.Review(f.now); len(list) != 1 || list[0].Digest != digest("crashing") || list[0].Status != Held {
 		t.Errorf("got %+v", list)
 	}
 	f.expect("identical", Cleared)
@@ -334,7 +334,7 @@
 	}
 }
 
-// A client with thousands of harmful requests fills the registry. Memory must stay
+// A client with thousands of crashing requests fills the registry. Memory must stay
 // bounded, and holds must not be evicted by suspicions.
 func TestMemoryIsBounded(t *testing.T) {
 	f := newFixture(t)
--- a/core/quarantine/replay_test.go
+++ b/core/quarantine/replay_test.go
@@ -69,8 +69,8 @@
 	tick = 10 * time.Millisecond
 	// transitTime is the transit time of a message between instances.
 	transitTime = 10 * time.Millisecond
-	// retryPause is the time before a broken run is repeated. While its request is
-	// suspected, the repeat is delayed further, up to retryWait.
+	// retryPause is the time before a broken run is retried. While its request is
+	// suspected, the retry is delayed further, up to retryWait.
 	retryPause = 60 * time.Millisecond
 	retryWait  = 300 * time.Millisecond
 )
@@ -141,26 +141,26 @@
 			p.later(DecisionDelay, func() { p.ev.Review(p.now) })
 		})
 		if r.runs > 1 {
-			p.later(retryPause, func() { p.repeat(r, p.now.Add(retryWait)) })
+			p.later(retryPause, func() { p.retry(r, p.now.Add(retryWait)) })
 		}
 	}
 }
 
-// repeat starts a run again once its request is not suspected any more, or at the latest
+// retry starts a run again once its request is not suspected any more, or at the latest
 // at the given time.
-func (p *replay) repeat(r *run, latest time.Time) {
+func (p *replay) retry(r *run, latest time.Time) {
 	if x, known := p.registry.Decision(p.now, digest(r.request)); known && x.Status == Suspected && p.now.Before(latest) {
-		p.later(tick, func() { p.repeat(r, latest) })
+		p.later(tick, func() { p.retry(r, latest) })
 		return
 	}
 	p.begin(r.request, r.until.Sub(r.began), r.runs-1)
 }
 
 const (
-	lethal = "lethal"
-	// lethalCrashes bounds the crashes that one request may cause: three until it is
+	crashing = "crashing"
+	// maxCrashes bounds the crashes that one request may cause: three until it is
 	// held, and three that the users allow until all instances know.
-	lethalCrashes = 6
+	maxCrashes = 6
 )
 
 // step advances the clock by one tick, ends runs that are due and starts new calls.
@@ -177,7 +177,7 @@
 		if p.now.Before(r.until) {
 			continue
 		}
-		if r.request == lethal {
+		if r.request == crashing {
 			p.crash(r.server)
 			continue
 		}
@@ -205,7 +205,7 @@
 }
 
 // A request that crashes its server arrives every half second, among 300 other calls a
-// second, of which some share one body and some are repeated up to three times. None of
+// second, of which some share one body and some are retried up to three times. None of
 // the others may be held.
 func TestOthersAreNotHeldBesideLethalRequest(t *testing.T) {
 	for seed := range int64(20) {
@@ -213,17 +213,17 @@
 		for n := range int(20 * time.Second / tick) {
 			p.step()
 			if n%50 == 0 {
-				p.begin(lethal, 100*time.Millisecond, 2)
+				p.begin(crashing, 100*time.Millisecond, 2)
 			}
 		}
-		p.check(lethalCrashes)
+		p.check(maxCrashes)
 	}
 }
 
-// A harmful request arrives twice every 150 ms at four servers that restart within half
+// A crashing request arrives twice every 150 ms at four servers that restart within half
 // a second. All other calls have one of four bodies, like health checks, so any of them
 // may be in flight at one crash and again at the next one a tenth of a second later.
-func TestIdenticalCallsBesideLethalRequest(t *testing.T) {
+func TestIdenticalCallsBesideCrashingRequest(t *testing.T) {
 	for seed := range int64(20) {
 		p := newReplay(t, 4, seed)
 		p.downtime = 500 * time.Millisecond
@@ -231,7 +231,7 @@
 			p.advance(tick)
 			p.endRuns()
 			if n%15 == 0 || n%15 == 4 {
-				p.begin(lethal, 10*time.Millisecond, 1)
+				p.begin(crashing, 10*time.Millisecond, 1)
 			}
 			if n%2 == 0 {
 				p.begin(fmt.Sprint("identical ", n/2%4), 40*time.Millisecond, 2)
@@ -254,7 +254,7 @@
 			p.step()
 			if n%int(pause/tick) == 0 {
 				for range copies {
-					p.begin(lethal, tick, runs)
+					p.begin(crashing, tick, runs)
 				}
 			}
 		}
@@ -275,11 +275,11 @@
 			p.advance(tick)
 			p.endRuns()
 			if n > begins && n%15 == 0 {
-				p.begin(lethal, tick, 2)
+				p.begin(crashing, tick, 2)
 			}
 			p.begin(fmt.Sprint("identical ", n%4), 300*time.Millisecond, 2)
 		}
-		p.check(lethalCrashes)
+		p.check(maxCrashes)
 	}
 }
 
@@ -311,7 +311,7 @@
 		p.t.Errorf("%d servers crashed, want at most %d", p.crashes, maxCrashes)
 	}
 	for request := range p.refused {
-		if request != lethal {
+		if request != crashing {
 			p.t.Errorf("%q was held", request)
 		}
 	}
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry decides whether a failed attempt may be repeated and when. A budget per
+// Package retry decides whether a failed attempt may be retried and when. A budget per
 // pool limits retries to a small part of the traffic, so that retries don't add to the
 // overload of a failing pool.
 package retry
@@ -64,7 +64,7 @@
 )
 
 // Allowed reports whether a call may be attempted again after a failure. A call that is
-// not idempotent is repeated only if it certainly did not run.
+// not idempotent is retried only if it certainly did not run.
 func Allowed(f Failure, idempotent bool, attempt int) bool {
 	if attempt >= MaxAttempts {
 		return false
--- a/core/routing/declaration.go
+++ b/core/routing/declaration.go
@@ -76,8 +76,8 @@
 	Resumable bool `msgpack:"e"`
 }
 
-// Repeatable reports whether a call may be retried after it may have run.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a call may be retried after it may have run.
+func (r *Route) Retryable() bool {
 	return r.Semantics == Idempotent || r.Semantics == Stream && r.Resumable
 }
 
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -108,13 +108,13 @@
 	}
 }
 
-func TestRepeatableCalls(t *testing.T) {
+func TestRetryableCalls(t *testing.T) {
 	for _, c := range []struct {
 		route Route
 		want  bool
 	}{{Route{}, false}, {Route{Semantics: Idempotent}, true}, {Route{Semantics: Stream}, false}, {Route{Semantics: Stream, Resumable: true}, true}, {Route{Resumable: true}, false}} {
-		if got := c.route.Repeatable(); got != c.want {
-			t.Errorf("%v resumable %v: repeatable %v", c.route.Semantics, c.route.Resumable, got)
+		if got := c.route.Retryable(); got != c.want {
+			t.Errorf("%v resumable %v: retryable %v", c.route.Semantics, c.route.Resumable, got)
 		}
 	}
 }
--- a/core/state/command.go
+++ b/core/state/command.go
@@ -146,7 +146,7 @@
 	// Retention is how long a call is stored, measured from its key's timestamp. Older
 	// keys are rejected, so that an expired record can't cause a second run.
 	Retention = 10 * time.Minute
-	// MaxSkew is how far a key's timestamp may be ahead of the group's clock.
+	// MaxSkew is how far a key's timestamp may be ahead of the replica group's clock.
 	MaxSkew = time.Minute
 	// MaxStoredAnswer limits a recorded answer's body, in bytes.
 	MaxStoredAnswer = 16 << 10
--- a/core/state/quarantine.go
+++ b/core/state/quarantine.go
@@ -15,7 +15,7 @@
 // Without it, a held request would crash three more servers after each restart.
 type StoredDecision struct {
 	Decision quarantine.Decision `msgpack:"r"`
-	// DecidedMillis is the time of the decision by the group's clock. A clock skew of
+	// DecidedMillis is the time of the decision by the replica group's clock. A clock skew of
 	// seconds is negligible for a hold of minutes.
 	DecidedMillis int64 `msgpack:"m"`
 }
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -3,7 +3,7 @@
 //
 // Hundreds of entries observe runs, and any of them, like any instance that collects their
 // counts, may be lost between two messages. Therefore entries send their counts in
-// numbered reports and repeat each report until it is in the replicated log. The log
+// numbered reports and resend each report until it is in the replicated log. The log
 // counts each number once, and a closed window never changes.
 //
 // The package does no I/O and reads no clock: times are passed in.
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// Random schedules of reports that are lost, repeated, late and out of order, from
+// Random schedules of reports that are lost, resent, late and out of order, from
 // processes that restart. Acknowledged runs count once, nothing counts twice, and a
 // closed window keeps its counts.
 func TestRandomSchedules(t *testing.T) {
--- a/daemon/control/assignment.go
+++ b/daemon/control/assignment.go
@@ -9,14 +9,14 @@
 // SetInstances sets the function that lists the live instances. Call it before Serve.
 func (s *Service) SetInstances(f func() []membership.Instance) { s.instances = f }
 
-// Home returns the peer address of the replica that a server should send its
+// AssignedReplica returns the peer address of the replica that a server should send its
 // announcements to, "" if no live replica is known.
 //
 // After a full restart, and at the first start, 3,000 engines all find the first replica
 // that is up. If servers stayed with the replica that acknowledged them first, that one
 // would permanently carry all connections and heartbeats and have no time left for the
-// group's work. A replica that joins or is lost moves only its share of the servers.
-func (s *Service) Home(serverID string) string {
+// replica group. A replica that joins or is lost moves only its share of the servers.
+func (s *Service) AssignedReplica(serverID string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return replicaFor(serverID, s.liveReplicas)
--- a/daemon/control/foreign.go
+++ b/daemon/control/foreign.go
@@ -48,8 +48,8 @@
 	return source, true
 }
 
-// Foreign counts an announcement that can't be from a backend server.
-func (s *Service) Foreign(source string, err error) {
+// RecordForeign counts an announcement that can't be from a backend server.
+func (s *Service) RecordForeign(source string, err error) {
 	if source, toLog := s.foreign.record(time.Now(), source); toLog {
 		log.WithError(eris.Cause(err)).WithFields(log.Fields{"step": "read announcement", "peer": source}).Warn("not from a backend server; further ones of this peer are counted and logged once a minute")
 	}
--- a/daemon/control/watch.go
+++ b/daemon/control/watch.go
@@ -89,7 +89,7 @@
 }
 
 // bootstrap reads the initial state from any replica, leader or not, so that after a
-// power loss of all instances the entries serve again before the group has a
+// power loss of all instances the entries serve again before the replica group has a
 // leader. It returns once a replica has answered, or after bootstrapDuration.
 func (w *Watch) bootstrap(ctx context.Context) {
 	until := time.Now().Add(bootstrapDuration)
--- a/daemon/control/watchreply.go
+++ b/daemon/control/watchreply.go
@@ -192,8 +192,8 @@
 		return reply
 	}
 	now := time.Now().UnixMilli()
-	for _, ruling := range v.Decisions {
-		reply.QuarantineDecisions = append(reply.QuarantineDecisions, ruling.DecisionAt(now))
+	for _, decision := range v.Decisions {
+		reply.QuarantineDecisions = append(reply.QuarantineDecisions, decision.DecisionAt(now))
 	}
 	return reply
 }
@@ -202,9 +202,9 @@
 // request the same 236 KB at once, and encoding it takes 3.6 ms each time on a quarter of
 // a core.
 type cachedReply struct {
-	body             msgpack.RawMessage
-	routing, rulings uint64
-	at               time.Time
+	body               msgpack.RawMessage
+	routing, decisions uint64
+	at                 time.Time
 }
 
 // staleReplyMaxAge bounds the use of an encoded reply, since it contains the ages of quarantine
@@ -212,13 +212,13 @@
 const staleReplyMaxAge = time.Second
 
 // encodeStaleReply returns the encoded state of a replica without a leader: enough for an entry
-// that has just started to serve calls until the group has a leader.
+// that has just started to serve calls until the replica group has a leader.
 func (s *Service) encodeStaleReply(v replica.View) (msgpack.RawMessage, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cached := &s.staleReply
 	now := time.Now()
-	if cached.body != nil && cached.routing == v.Routing.Revision && cached.rulings == v.DecisionsRevision && now.Sub(cached.at) < staleReplyMaxAge {
+	if cached.body != nil && cached.routing == v.Routing.Revision && cached.decisions == v.DecisionsRevision && now.Sub(cached.at) < staleReplyMaxAge {
 		return cached.body, nil
 	}
 	reply := &watchReply{Declaration: v.Routing.Declared.Declaration, Members: v.Members,
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -49,7 +49,7 @@
 	dispatcher *dispatcher.Service
 	scheduler  *scheduler.Scheduler
 	slots      entry.Slots
-	keeper     *quarantine.Manager
+	quarantine *quarantine.Manager
 	entry      *entry.Entry
 	admin      *admin.Admin
 	placement  *placement.Service
@@ -89,9 +89,9 @@
 	if experiment {
 		d.slots = baseline.New(s.Experiment.Baseline, d.transport)
 	}
-	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Evaluators: d.gossip.Entries})
+	d.quarantine = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Evaluators: d.gossip.Entries})
 	d.entry = entry.New(entry.Options{Settings: s, Holder: d.holder, Gossip: d.gossip, Scheduler: d.slots,
-		Replicas: d.replicas, Metrics: d.metrics, Quarantine: d.keeper, Owner: self.Owner(), BroadcastAnnouncements: experiment, IgnoreTiers: experiment})
+		Replicas: d.replicas, Metrics: d.metrics, Quarantine: d.quarantine, Owner: self.Owner(), BroadcastAnnouncements: experiment, IgnoreTiers: experiment})
 	d.admin = &admin.Admin{Settings: s, Holder: d.holder, Gossip: d.gossip, Replicas: d.replicas, Transport: d.transport, LocalInfo: d.info}
 	d.admin.Register()
 	d.placement = &placement.Service{Owner: self.Owner(), Gossip: d.gossip, Holder: d.holder, Replicas: d.replicas, Servers: d.admin.ServerList}
@@ -153,7 +153,7 @@
 	control := supervisor("control")
 	control.Add(d.gossip)
 	control.Add(d.holder)
-	control.Add(d.keeper)
+	control.Add(d.quarantine)
 	root.Add(control)
 	work := supervisor("work")
 	work.Add(d.dispatcher)
@@ -201,8 +201,8 @@
 
 func (d *Daemon) registerGauges() {
 	d.metrics.Gauge("cardamomwick_generation", func() float64 { return float64(d.holder.Config().Generation) })
-	d.metrics.Gauge("cardamomwick_requests_held", func() float64 { return float64(d.keeper.HeldRequests()) })
-	d.metrics.Gauge("cardamomwick_servers_ended_total", func() float64 { return float64(d.keeper.Crashes()) })
+	d.metrics.Gauge("cardamomwick_requests_held", func() float64 { return float64(d.quarantine.HeldRequests()) })
+	d.metrics.Gauge("cardamomwick_servers_ended_total", func() float64 { return float64(d.quarantine.Crashes()) })
 	d.metrics.Gauge("cardamomwick_lease_fresh", func() float64 {
 		if d.holder.Fresh() {
 			return 1
--- a/daemon/entry/answer.go
+++ b/daemon/entry/answer.go
@@ -44,12 +44,14 @@
 	contentType string
 	body        []byte
 	outcome     state.Outcome
-	repeat      bool
+	// recorded is set if the reply was read from the record of an earlier call with the same
+	// key.
+	recorded bool
 }
 
 func errorReply(e *callError) *reply { return &reply{err: e, outcome: e.Outcome} }
 
-// storedAnswer returns the reply as it is recorded for repeats of the call.
+// storedAnswer returns the reply as it is recorded for retries of the call.
 func (r *reply) storedAnswer() *state.StoredAnswer {
 	a := &state.StoredAnswer{Outcome: r.outcome, Status: r.status, ContentType: r.contentType, Body: r.body}
 	if r.err != nil {
@@ -64,7 +66,7 @@
 	return a
 }
 
-// recordedReply returns the answer to a repeat of a recorded call.
+// recordedReply returns the answer to a retry of a recorded call.
 func recordedReply(rec *state.CallRecord) *reply {
 	if rec.Phase != state.PhaseDone || rec.Answer == nil {
 		return errorReply(unknown(http.StatusConflict, api.ErrorCallInProgress, "a call with this key is in progress, or the entry that ran it was lost").withRetryAfter(time.Second))
@@ -73,9 +75,9 @@
 	if a.Truncated {
 		e := unknown(http.StatusConflict, api.ErrorAnswerNotKept, "the call has ended; its answer was too large to keep")
 		e.Outcome = a.Outcome
-		return &reply{err: e, outcome: a.Outcome, repeat: true}
+		return &reply{err: e, outcome: a.Outcome, recorded: true}
 	}
-	return &reply{status: a.Status, contentType: a.ContentType, body: a.Body, outcome: a.Outcome, repeat: true}
+	return &reply{status: a.Status, contentType: a.ContentType, body: a.Body, outcome: a.Outcome, recorded: true}
 }
 
 const jsonType = "application/json"
@@ -85,7 +87,7 @@
 	h := w.Header()
 	h.Set(api.HeaderRequestID, requestID)
 	h.Set(api.HeaderOutcome, string(r.outcome))
-	if r.repeat {
+	if r.recorded {
 		h.Set(api.HeaderRecordedAnswer, "true")
 	}
 	if r.err == nil {
--- a/daemon/entry/attempt.go
+++ b/daemon/entry/attempt.go
@@ -51,9 +51,9 @@
 
 // attempt makes the n-th attempt. It returns nil if another one is to be made.
 func (x *execution) attempt(n int) *reply {
-	// All attempts of all calls pass here, those of repeats and recorded calls included.
+	// All attempts of all calls pass here, those of retries and recorded calls included.
 	// Without this check, a request that crashes servers would crash one after another.
-	if left, held := x.entry.keeper.Held(x.call.requestDigest); held {
+	if left, held := x.entry.quarantine.Held(x.call.requestDigest); held {
 		return errorReply(callErrorFor(http.StatusServiceUnavailable, api.ErrorRequestQuarantined, quarantine.HeldMessage, x.mayHaveRun).withRetryAfter(left))
 	}
 	t := x.call.ticket()
@@ -78,7 +78,7 @@
 		x.reportBroken(failure, run)
 		return x.handleFailure(failure, grant.Server, n)
 	}
-	x.entry.keeper.RecordSuccess(run, x.call.requestDigest())
+	x.entry.quarantine.RecordSuccess(run, x.call.requestDigest())
 	return rep
 }
 
@@ -86,7 +86,7 @@
 func (x *execution) reportBroken(f *backend.CallError, r quarantine.Run) {
 	if f.Failure == retry.FailureUncertain && f.Status == 0 && x.run.Err() == nil {
 		r.Reached = f.Reached
-		x.entry.keeper.RecordBroken(r, x.call.requestDigest())
+		x.entry.quarantine.RecordBroken(r, x.call.requestDigest())
 	}
 }
 
@@ -134,7 +134,7 @@
 	}
 	x.excluded = append(x.excluded, server)
 	sleep(x.run, retry.Backoff(n+1, rand.Float64()))
-	x.entry.keeper.AwaitDecision(x.run, x.call.requestDigest) // if the context ends, so does the next attempt
+	x.entry.quarantine.AwaitDecision(x.run, x.call.requestDigest) // if the context ends, so does the next attempt
 	return nil
 }
 
@@ -238,19 +238,19 @@
 		slot.Finish(dispatch.Usage{})
 		return nil, &backend.CallError{Failure: retry.FailureNotSent, Step: "build engine request", Peer: t.Server, Err: err}
 	}
-	repeats, f := e.generate(ctx, t, body, slot, out)
+	resumes, f := e.generate(ctx, t, body, slot, out)
 	_, now := out.partial()
 	if f == nil {
-		slot.Finish(dispatch.Usage{Completed: true, OutputTokens: now - before, ExtraRequests: repeats})
+		slot.Finish(dispatch.Usage{Completed: true, OutputTokens: now - before, ExtraRequests: resumes})
 		return out.completionReply(), nil
 	}
 	if ctx.Err() != nil {
 		go backend.Cancel(t)
 		e.metrics.Abandoned(c.class, now)
-		slot.Finish(dispatch.Usage{OutputTokens: now - before, ExtraRequests: repeats + 1})
+		slot.Finish(dispatch.Usage{OutputTokens: now - before, ExtraRequests: resumes + 1})
 		return nil, f
 	}
-	slot.Finish(dispatch.Usage{Fault: f.Status == 0 || f.Status >= 500, OutputTokens: now - before, ExtraRequests: repeats})
+	slot.Finish(dispatch.Usage{Fault: f.Status == 0 || f.Status >= 500, OutputTokens: now - before, ExtraRequests: resumes})
 	return nil, f
 }
 
--- a/daemon/entry/durable.go
+++ b/daemon/entry/durable.go
@@ -58,10 +58,10 @@
 	for {
 		r := e.durableRound(c, out)
 		switch {
-		case r.outcome == state.OutcomeCompleted && !r.repeat:
+		case r.outcome == state.OutcomeCompleted && !r.recorded:
 			e.record(c, r)
 			return r
-		case r.repeat || r.outcome == state.OutcomeUnknown && !c.policy.Idempotent:
+		case r.recorded || r.outcome == state.OutcomeUnknown && !c.policy.Idempotent:
 			return r
 		case e.draining.Load():
 			return errorReply(unknown(http.StatusAccepted, api.ErrorAcceptedNotFinished, "the call is recorded; another instance will run it").withRetryAfter(time.Second))
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -65,7 +65,7 @@
 	scheduler   Slots
 	replicas    *replica.Client
 	metrics     *telemetry.Metrics
-	keeper      *quarantine.Manager
+	quarantine  *quarantine.Manager
 	owner       string
 	broadcast   bool
 	ignoreTiers bool
@@ -85,7 +85,7 @@
 // New returns an entry that uses the holder's current configuration.
 func New(o Options) *Entry {
 	e := &Entry{settings: o.Settings, holder: o.Holder, gossip: o.Gossip, scheduler: o.Scheduler, replicas: o.Replicas,
-		metrics: o.Metrics, keeper: o.Quarantine, owner: o.Owner, broadcast: o.BroadcastAnnouncements, ignoreTiers: o.IgnoreTiers, budgets: map[string]*retry.Budget{}}
+		metrics: o.Metrics, quarantine: o.Quarantine, owner: o.Owner, broadcast: o.BroadcastAnnouncements, ignoreTiers: o.IgnoreTiers, budgets: map[string]*retry.Budget{}}
 	e.keys.Store(&map[string]string{})
 	o.Holder.OnChange(e.indexKeys)
 	return e
--- a/daemon/entry/execute.go
+++ b/daemon/entry/execute.go
@@ -79,7 +79,7 @@
 	known := make(chan *reply, 1)
 	go func() {
 		if rec, found, err := e.replicas.Lookup(wait, *c.key); err == nil && found && rec.CallID != c.callID {
-			known <- e.repeatReply(c, &rec)
+			known <- e.replyToRetry(c, &rec)
 			cancelWait(errKnownCall)
 		}
 	}()
@@ -96,8 +96,8 @@
 
 var errKnownCall = eris.New("the call is known already")
 
-// repeatReply answers a call whose key is already recorded.
-func (e *Entry) repeatReply(c *call, rec *state.CallRecord) *reply {
+// replyToRetry answers a retry, a call whose key is already recorded.
+func (e *Entry) replyToRetry(c *call, rec *state.CallRecord) *reply {
 	if rec.RequestDigest != c.digest {
 		return errorReply(notRun(http.StatusUnprocessableEntity, api.ErrorIdempotencyConflict, "the idempotency key was used for another request"))
 	}
@@ -164,11 +164,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	if _, err := e.replicas.Propose(ctx, e.command(state.CommandRelease, c)); err != nil {
-		log.WithError(err).WithFields(log.Fields{"request_id": c.id, "step": "release claim"}).Warn("repeats of this key will be told unknown")
+		log.WithError(err).WithFields(log.Fields{"request_id": c.id, "step": "release claim"}).Warn("retries with this key will be told unknown")
 	}
 }
 
-// record stores a claimed call's outcome before its caller gets it, so that repeats get
+// record stores a claimed call's outcome before its caller gets it, so that retries get
 // the same answer. The claim of a call that was not run is released.
 func (e *Entry) record(c *call, r *reply) {
 	if r.outcome == state.OutcomeNotRun {
@@ -180,6 +180,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	if _, err := e.replicas.Propose(ctx, cmd); err != nil {
-		log.WithError(err).WithFields(log.Fields{"request_id": c.id, "step": "record outcome"}).Warn("repeats of this key will be told unknown")
+		log.WithError(err).WithFields(log.Fields{"request_id": c.id, "step": "record outcome"}).Warn("retries with this key will be told unknown")
 	}
 }
--- a/daemon/entry/sink.go
+++ b/daemon/entry/sink.go
@@ -124,7 +124,7 @@
 		r.write(s.w, s.c.id)
 		return
 	}
-	if r.err == nil && r.repeat {
+	if r.err == nil && r.recorded {
 		r.write(s.w, s.c.id)
 		return
 	}
--- a/daemon/routed.go
+++ b/daemon/routed.go
@@ -36,11 +36,11 @@
 	Source(ctx context.Context) ([]byte, error)
 	Announce(ctx context.Context, s fleet.Server) error
 	Depart(ctx context.Context, start fleet.Start) error
-	// Home returns the peer address of the instance that should receive the further
+	// AssignedReplica returns the peer address of the instance that should receive the further
 	// announcements of a server, "" for this one.
-	Home(serverID string) string
-	// Foreign records an announcement that can't be from a backend server.
-	Foreign(source string, err error)
+	AssignedReplica(serverID string) string
+	// RecordForeign records an announcement that can't be from a backend server.
+	RecordForeign(source string, err error)
 }
 
 // Directory lists the addresses that callers may connect to.
@@ -64,21 +64,21 @@
 // Routed is an instance that serves declared routes on a platform. Its settings decide
 // whether it is an entry, a replica or both.
 type Routed struct {
-	settings  *settings.Settings
-	transport *frame.Transport
-	gossip    *gossip.Service
-	replica   *replica.Replica
-	directory *replica.Directory
-	watch     *control.Watch
-	control   *control.Service
-	keeper    *quarantine.Manager
-	teller    *usage.Reporter
-	orderer   *capacity.Orderer
-	runners   []*duties.Runner
-	router    *router.Router
-	services  []suture.Service
-	metrics   *telemetry.Metrics
-	draining  atomic.Bool
+	settings   *settings.Settings
+	transport  *frame.Transport
+	gossip     *gossip.Service
+	replica    *replica.Replica
+	directory  *replica.Directory
+	watch      *control.Watch
+	control    *control.Service
+	quarantine *quarantine.Manager
+	reporter   *usage.Reporter
+	orderer    *capacity.Orderer
+	runners    []*duties.Runner
+	router     *router.Router
+	services   []suture.Service
+	metrics    *telemetry.Metrics
+	draining   atomic.Bool
 	// lastListing is the latest list of servers that the watch delivered.
 	lastListing []fleet.Server
 }
@@ -96,10 +96,10 @@
 	d.gossip = gossip.New(d.transport, self, seeds)
 	d.directory = replica.NewSeedDirectory(seeds, s.Replicas.Bootstrap)
 	client := replica.NewClient(d.transport, d.directory)
-	d.keeper = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Evaluators: d.gossip.Entries, Log: client})
-	d.services = append(d.services, d.keeper)
+	d.quarantine = quarantine.New(quarantine.Options{Transport: d.transport, Instances: d.gossip.Instances, Evaluators: d.gossip.Entries, Log: client})
+	d.services = append(d.services, d.quarantine)
 	if settings.Enabled(s.Usage.Record) {
-		d.addTeller(client)
+		d.addReporter(client)
 	}
 	if s.Instance.DataFolder != "" {
 		if err := d.addReplica(a, client); err != nil {
@@ -165,15 +165,15 @@
 		Table:   func() *routing.Table { return d.watch.Table() },
 		Entries: func() int { return len(d.gossip.Entries()) },
 		Usage:   d.usage(),
-		Retry:   router.RetryLimits{Span: tuned.RetryWindow, Ratio: tuned.RetryRatio, Slack: tuned.RetrySlack}, Metrics: d.metrics, Quarantine: d.keeper})
+		Retry:   router.RetryLimits{Span: tuned.RetryWindow, Ratio: tuned.RetryRatio, Slack: tuned.RetrySlack}, Metrics: d.metrics, Quarantine: d.quarantine})
 	// The watch has its own client: the shared one remembers the leader that other calls
 	// found, and would always send the watch there.
 	d.watch = control.NewWatch(d.transport, replica.NewClient(d.transport, d.directory), d.applyTable, d.applyFleet)
-	d.watch.OnQuarantineDecisions(d.keeper.MergeDecisions)
+	d.watch.OnQuarantineDecisions(d.quarantine.MergeDecisions)
 	self := collect.Member{Name: d.settings.Instance.Name, Zone: d.settings.Instance.AvailabilityZone, Address: d.settings.Peers.Address}
 	exchange := router.NewExchange(d.router, d.transport, self, d.collectMembers)
-	if d.teller != nil {
-		d.teller.SetDemands(d.router.Demands)
+	if d.reporter != nil {
+		d.reporter.SetDemands(d.router.Demands)
 	}
 	d.services = append(d.services, d.watch, exchange)
 	if err := d.listen("callers' listener", d.settings.Callers.Address, d.router, callerIdleTimeout); err != nil {
--- a/daemon/routed_duties.go
+++ b/daemon/routed_duties.go
@@ -15,30 +15,30 @@
 	"cardamomwick.example/daemon/usage"
 )
 
-// addTeller adds the service that counts runs for the usage records and keeps the time of
+// addReporter adds the service that counts runs for the usage records and keeps the time of
 // day that the instances agree on.
-func (d *Routed) addTeller(client *replica.Client) {
+func (d *Routed) addReporter(client *replica.Client) {
 	s := d.settings
-	d.teller = usage.NewReporter(usage.ReporterOptions{Client: client, Instance: s.Instance.Name, Process: d.gossip.Self().Owner(),
+	d.reporter = usage.NewReporter(usage.ReporterOptions{Client: client, Instance: s.Instance.Name, Process: d.gossip.Self().Owner(),
 		Window: s.Tuning().Usage.Window, Instances: d.instances, ObservesRuns: s.Callers.Address != ""})
-	d.services = append(d.services, d.teller)
+	d.services = append(d.services, d.reporter)
 }
 
 func (d *Routed) instances() int { return len(d.gossip.Instances()) }
 
 // usage returns the counter of runs for the router, nil if usage is not recorded.
 func (d *Routed) usage() router.Usage {
-	if d.teller == nil {
+	if d.reporter == nil {
 		return nil
 	}
-	return d.teller
+	return d.reporter
 }
 
 // addDuties adds the duties, each of which one replica at a time performs: reporting usage
 // and ordering servers.
 func (d *Routed) addDuties(a Adapter, client *replica.Client) {
 	s := d.settings
-	if d.teller == nil {
+	if d.reporter == nil {
 		return
 	}
 	collector := usage.NewCollector(d.transport, func() replica.View { v, _ := d.replica.View(); return v }, client, d.instances)
@@ -51,7 +51,7 @@
 	}
 	tuned := s.Tuning()
 	d.addRunner(usage.DutyName, client, usage.NewExporter(usage.ExporterOptions{Window: tuned.Usage.Window, Within: tuned.Usage.Within,
-		Keep: tuned.Usage.Keep, MinInterval: reportInterval(tuned.Provider.CallsPerSecond), Reporters: d.tellers, Now: d.teller.Now, State: d.replica.Duties, Provider: reports}))
+		Keep: tuned.Usage.Keep, MinInterval: reportInterval(tuned.Provider.CallsPerSecond), Reporters: d.reporters, Now: d.reporter.Now, State: d.replica.Duties, Provider: reports}))
 	if enabled.Servers && settings.Enabled(s.Capacity.Order) {
 		d.addOrderer(providerClient, client)
 	}
@@ -80,9 +80,9 @@
 	return time.Duration(float64(time.Second) / (reportShare * callsPerSecond))
 }
 
-// tellers lists the owner names of the live instances that accept calls, and therefore
+// reporters lists the owner names of the live instances that accept calls, and therefore
 // count runs.
-func (d *Routed) tellers() []string {
+func (d *Routed) reporters() []string {
 	var out []string
 	for _, i := range d.gossip.Instances() {
 		if i.CallerAddress != "" {
--- a/daemon/routed_metrics.go
+++ b/daemon/routed_metrics.go
@@ -14,11 +14,11 @@
 	gauge("cardamomwick_handler_panics_total", func() float64 { return float64(d.transport.Panics.Load()) })
 	gauge("cardamomwick_silent_connections_total", func() float64 { return float64(d.transport.Silent.Load()) })
 	gauge("cardamomwick_frame_bytes_sent_total", func() float64 { return float64(d.transport.BytesSent.Load()) })
-	gauge("cardamomwick_requests_held", func() float64 { return float64(d.keeper.HeldRequests()) })
+	gauge("cardamomwick_requests_held", func() float64 { return float64(d.quarantine.HeldRequests()) })
 	if d.router != nil {
-		gauge("cardamomwick_servers_ended_total", func() float64 { return float64(d.keeper.Crashes()) })
-		for finding := range d.keeper.ProbeResults() {
-			gauge(fmt.Sprintf("cardamomwick_server_checks_total{finding=%q}", finding), func() float64 { return float64(d.keeper.ProbeResults()[finding]) })
+		gauge("cardamomwick_servers_ended_total", func() float64 { return float64(d.quarantine.Crashes()) })
+		for finding := range d.quarantine.ProbeResults() {
+			gauge(fmt.Sprintf("cardamomwick_server_checks_total{finding=%q}", finding), func() float64 { return float64(d.quarantine.ProbeResults()[finding]) })
 		}
 		gauge("cardamomwick_in_flight", func() float64 { return float64(d.router.InFlight()) })
 		gauge("cardamomwick_counts_age_seconds", func() float64 { return d.router.CountsAge().Seconds() })
--- a/daemon/router/final.go
+++ b/daemon/router/final.go
@@ -35,7 +35,7 @@
 			return true // nothing reached the server
 		}
 	case failed:
-		if !c.route.Repeatable() || c.runs >= c.route.MaxAttempts {
+		if !c.route.Retryable() || c.runs >= c.route.MaxAttempts {
 			return false
 		}
 	default:
--- a/daemon/router/request.go
+++ b/daemon/router/request.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"cardamomwick.example/core/fleet"
-	"cardamomwick.example/core/quarantine"
-	keeper "cardamomwick.example/daemon/quarantine"
+	core "cardamomwick.example/core/quarantine"
+	"cardamomwick.example/daemon/quarantine"
 	"cardamomwick.example/daemon/upstream"
 )
 
@@ -46,9 +46,9 @@
 
 // digest identifies the request for the quarantine. It is computed on first use, since
 // most refused calls don't need it.
-func (c *call) digest() quarantine.Digest {
+func (c *call) digest() core.Digest {
 	if c.identity == nil {
-		r := quarantine.Request{Method: c.req.Method, Host: c.req.Host, URI: requestURI(c.req), Body: c.body}
+		r := core.Request{Method: c.req.Method, Host: c.req.Host, URI: requestURI(c.req), Body: c.body}
 		if c.customer != nil {
 			r.Customer = c.customer.Name
 		}
@@ -75,8 +75,8 @@
 }
 
 // run describes the call's last attempt to the quarantine.
-func (c *call) run(s fleet.Server) keeper.Run {
-	return keeper.Run{Server: s.ID, Address: s.Address, Began: c.attemptStart}
+func (c *call) run(s fleet.Server) quarantine.Run {
+	return quarantine.Run{Server: s.ID, Address: s.Address, Began: c.attemptStart}
 }
 
 // refuseQuarantined sends the final answer if the request is in quarantine, and reports
@@ -85,7 +85,7 @@
 	left, held := c.router.opt.Quarantine.Held(c.digest)
 	if held {
 		c.retryAfter = left
-		c.giveUp(keeper.HeldMessage)
+		c.giveUp(quarantine.HeldMessage)
 	}
 	return held
 }
--- a/daemon/router/watchdog.go
+++ b/daemon/router/watchdog.go
@@ -36,7 +36,7 @@
 // startWatchdog starts a watchdog for the call's next attempt. It returns nil if the
 // call may not be retried after it.
 func (c *call) startWatchdog(end context.CancelFunc) *watchdog {
-	if !c.route.Repeatable() || c.runs+1 >= c.route.MaxAttempts || c.route.TargetLatency <= 0 {
+	if !c.route.Retryable() || c.runs+1 >= c.route.MaxAttempts || c.route.TargetLatency <= 0 {
 		return nil
 	}
 	d := &watchdog{}
--- a/daemon/upstream/protocol.go
+++ b/daemon/upstream/protocol.go
@@ -43,7 +43,8 @@
 	Parts []Part
 }
 
-// Part is a part of a prompt that other calls may share.
+// Part is a part of a prompt that other calls may share. Its ID also identifies the prefix
+// of the prompt that ends with it, which balance.Prefix describes.
 type Part struct {
 	ID     string
 	Tokens int
--- a/daemon/usage/collector.go
+++ b/daemon/usage/collector.go
@@ -175,7 +175,7 @@
 	return demandsReply{Demands: c.demands.Fresh(boottime.Now())}, nil
 }
 
-// demandsTimeout bounds the request for the demands, which is repeated periodically.
+// demandsTimeout bounds the request for the demands, which is sent periodically.
 const demandsTimeout = 500 * time.Millisecond
 
 // Demands requests the demand for each pool from the leader.
