--- a/ctl/caller/caller.go
+++ b/ctl/caller/caller.go
@@ -42,9 +42,9 @@
 type Request struct {
 	// Address is the IP:port of the entry.
 	Address string
-	// Customer is the customer's bearer key.
-	Customer string
-	Class    string
+	// CustomerKey is the customer's bearer key.
+	CustomerKey string
+	Class       string
 	// IdempotencyKey is empty for none.
 	IdempotencyKey string
 	// Deadline counts from sending. It is not sent if 0.
@@ -54,7 +54,8 @@
 	Model        string
 	Prompt       []string
 	OutputTokens int
-	Stream       bool
+	// Stream asks for the answer as a stream of events.
+	Stream bool
 	// MaxTokens is the output limit that the caller sends and expects to be applied, 0
 	// for none.
 	MaxTokens int
@@ -127,7 +128,7 @@
 		return nil, err
 	}
 	req.GetBody = nil // keeps the HTTP client from sending the request again by itself
-	req.Header.Set("Authorization", "Bearer "+r.Customer)
+	req.Header.Set("Authorization", "Bearer "+r.CustomerKey)
 	req.Header.Set("Content-Type", "application/json")
 	if r.Class != "" {
 		req.Header.Set(api.HeaderClass, r.Class)
--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -46,7 +46,7 @@
 	Public  string `toml:"public_key"`
 }
 
-// NewKey generates a key.
+// NewKey generates a key pair for an operator.
 func NewKey(operator string) (*Key, error) {
 	pub, priv, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -175,12 +175,12 @@
 	return get[api.GroupStatus](ctx, c, api.PathStatus)
 }
 
-// Instances lists all instances.
+// Instances returns the state of all instances.
 func (c *Client) Instances(ctx context.Context) ([]api.InstanceInfo, error) {
 	return get[[]api.InstanceInfo](ctx, c, api.PathInstances)
 }
 
-// Servers lists the backend servers.
+// Servers returns the state of the backend servers.
 func (c *Client) Servers(ctx context.Context) ([]api.ServerEntry, error) {
 	return get[[]api.ServerEntry](ctx, c, api.PathServers)
 }
--- a/ctl/client/pages.go
+++ b/ctl/client/pages.go
@@ -61,7 +61,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK || resp.Header.Get("Content-Type") != "application/json" {
-		return eris.Wrapf(ErrRefused, "%s has no page %s: is it the metrics address of an instance that has one?", address, path)
+		return eris.Wrapf(ErrRefused, "%s does not serve %s; use the metrics address of an instance that does", address, path)
 	}
 	return eris.Wrapf(json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(out), "read %s of %s", path, address)
 }
--- a/ctl/commands/commands.go
+++ b/ctl/commands/commands.go
@@ -34,7 +34,7 @@
 	return &cli.Command{
 		Name:        "cardamomctl",
 		Usage:       "operate and try out cardamomwick",
-		Description: "The normal way in is a bundle kept in version control:\n\n" + "  cardamomctl bundle check bundle.toml\n  cardamomctl bundle diff bundle.toml\n  cardamomctl bundle publish bundle.toml\n\n" + exitHelp,
+		Description: "The usual way to configure the system is a bundle kept in version control:\n\n" + "  cardamomctl bundle check bundle.toml\n  cardamomctl bundle diff bundle.toml\n  cardamomctl bundle publish bundle.toml\n\n" + exitHelp,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "instances", Usage: "caller addresses of instances, separated by commas", Sources: cli.EnvVars("CARDAMOMWICK_INSTANCES")},
 			&cli.StringFlag{Name: "key", Usage: "the operator's key `FILE`", Sources: cli.EnvVars("CARDAMOMWICK_KEY")},
@@ -83,7 +83,7 @@
 	case errors.Is(err, client.ErrRefused):
 		return cli.Exit(err.Error(), ExitConflict)
 	case errors.Is(err, client.ErrUnreachable), errors.Is(err, context.DeadlineExceeded):
-		return cli.Exit(err.Error()+"\nIs the system running, and do --instances name it? Try again: every command is safe to repeat.", ExitUnreachable)
+		return cli.Exit(err.Error()+"\nCheck that the system runs and that --instances lists caller addresses of its instances. Every command is safe to repeat.", ExitUnreachable)
 	}
 	return cli.Exit(err.Error(), ExitFailed)
 }
@@ -164,5 +164,5 @@
 }
 
 func noWaitFlag() cli.Flag {
-	return &cli.BoolFlag{Name: "no-wait", Usage: "don't wait until it is in force everywhere"}
+	return &cli.BoolFlag{Name: "no-wait", Usage: "don't wait until the change is in force on all instances"}
 }
--- a/ctl/commands/duties.go
+++ b/ctl/commands/duties.go
@@ -23,7 +23,7 @@
 		Name:  "usage",
 		Usage: "list or export the runs of each customer, by recorded window",
 		Description: "Reads them from an instance with a replica, by the address of its metrics page (metrics.address).\n" +
-			"One that is cut off answers with what it has. Example: cardamomctl usage --at 10.0.0.3:9464 --format csv > usage.csv",
+			"An isolated instance answers with the records that it has stored. Example: cardamomctl usage --at 10.0.0.3:9464 --format csv > usage.csv",
 		Flags: []cli.Flag{
 			metricsAddressFlag(instancesWithReplica),
 			&cli.StringFlag{Name: "format", Usage: "table, csv or jsonl", Value: "table"},
@@ -36,7 +36,7 @@
 func dutiesCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "duties",
-		Usage: "show who holds the duties of one instance at a time, and the servers ordered",
+		Usage: "show which instance holds each duty (one at a time), and the ordered servers",
 		Flags: []cli.Flag{metricsAddressFlag(instancesWithReplica)}, Action: withMetricsAddress(dutiesList),
 	}
 }
--- a/ctl/commands/keys.go
+++ b/ctl/commands/keys.go
@@ -56,6 +56,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
+// keysFrame prints a new key for the connections between instances, as a section of the
+// settings.
 func keysFrame(context.Context, *cli.Command) error {
 	s, err := NewSecret()
 	if err == nil {
--- a/ctl/commands/limits.go
+++ b/ctl/commands/limits.go
@@ -14,10 +14,11 @@
 func limitsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "limits",
-		Usage: "show the servers that have named request limits, as an instance that takes calls holds them",
-		Description: "LIMIT is what the server takes from all instances together, SHARE this instance's part of it, both a second.\n" +
+		Usage: "show the request limits announced by servers, as known to one instance that accepts calls",
+		Description: "LIMIT is the number of requests per second that the server accepts from all instances together,\n" +
+			"SHARE is this instance's part of it.\n" +
 			"Example: cardamomctl limits --at 10.0.0.3:9464",
-		Flags:  []cli.Flag{metricsAddressFlag("an instance that takes calls")},
+		Flags:  []cli.Flag{metricsAddressFlag("an instance that accepts calls")},
 		Action: withMetricsAddress(limitsList),
 	}
 }
--- a/ctl/explain/explain.go
+++ b/ctl/explain/explain.go
@@ -43,7 +43,7 @@
 type Explanation struct {
 	// CallLines are about the call itself.
 	CallLines []Line
-	// InstanceState holds the lines that tell what the instances that handled the call
+	// InstanceState holds the lines that show what the instances that handled the call
 	// knew when it ended, each the latest of its kind: the declaration, the replica group,
 	// their own start, and the request limits of the servers that the call waited for.
 	InstanceState []Line
--- a/ctl/harness/harness.go
+++ b/ctl/harness/harness.go
@@ -69,7 +69,8 @@
 	process                    *Process
 }
 
-// Cluster is a set of processes that belong together.
+// Cluster holds the instances and fake servers of one test cluster, which run on a loopback
+// network of their own.
 type Cluster struct {
 	Options
 	Instances   []*Instance
@@ -79,9 +80,11 @@
 	Client         *client.Client
 	// CustomerKeys maps customers to bearer keys.
 	CustomerKeys map[string]string
-	sharedToken  string
-	network      string
-	frameSecret  string
+	// sharedToken authorises both reading metrics and the announcements of fake servers.
+	sharedToken string
+	// networkPrefix holds the first three bytes of the cluster's addresses, as text.
+	networkPrefix string
+	frameSecret   string
 }
 
 // New creates keys, secrets and settings for a cluster. It starts no process.
@@ -101,8 +104,8 @@
 	if o.AddressTTL == 0 {
 		o.AddressTTL = time.Second
 	}
-	c := &Cluster{Options: o, CustomerKeys: map[string]string{}, sharedToken: sharedToken, frameSecret: frameSecret, network: findFreeNetwork()}
-	c.ControlAddress = c.network + ".250:7300"
+	c := &Cluster{Options: o, CustomerKeys: map[string]string{}, sharedToken: sharedToken, frameSecret: frameSecret, networkPrefix: findFreeNetworkPrefix()}
+	c.ControlAddress = c.networkPrefix + ".250:7300"
 	for _, name := range o.Customers {
 		if c.CustomerKeys[name], err = commands.NewSecret(); err != nil {
 			return nil, err
@@ -123,16 +126,16 @@
 	return c, key.Save(filepath.Join(o.WorkDir, "operator.key"))
 }
 
-// findFreeNetwork returns the prefix of a loopback network that no other harness uses. It
-// recognises a network in use by the address of its control API.
-func findFreeNetwork() string {
+// findFreeNetworkPrefix returns the prefix of a loopback network that no other harness
+// uses. It recognises a network in use by the address of its control API.
+func findFreeNetworkPrefix() string {
 	for attempt := 0; ; attempt++ {
 		n := (os.Getpid() + attempt) % (200 * 250)
-		network := fmt.Sprintf("127.%d.%d", 20+n/250, 1+n%250)
-		l, err := net.Listen("tcp", network+".250:7300")
+		prefix := fmt.Sprintf("127.%d.%d", 20+n/250, 1+n%250)
+		l, err := net.Listen("tcp", prefix+".250:7300")
 		if err == nil {
 			l.Close()
-			return network
+			return prefix
 		}
 	}
 }
@@ -140,7 +143,7 @@
 func (c *Cluster) addInstance(i int) {
 	name := fmt.Sprintf("i%d", i+1)
 	instance := &Instance{Name: name, Zone: c.Zones[i%len(c.Zones)],
-		CallerAddress: fmt.Sprintf("%s.%d:%d", c.network, i+1, callerPort), PeerAddress: fmt.Sprintf("%s.%d:%d", c.network, i+1, peerPort),
+		CallerAddress: fmt.Sprintf("%s.%d:%d", c.networkPrefix, i+1, callerPort), PeerAddress: fmt.Sprintf("%s.%d:%d", c.networkPrefix, i+1, peerPort),
 		settingsFile: filepath.Join(c.WorkDir, name+".toml")}
 	if i < c.ReplicaCount {
 		instance.DataFolder = filepath.Join(c.WorkDir, name+".data")
@@ -149,7 +152,9 @@
 }
 
 // ServerAddress returns the loopback address for the n-th backend server.
-func (c *Cluster) ServerAddress(n int) string { return fmt.Sprintf("%s.%d:8001", c.network, 100+n) }
+func (c *Cluster) ServerAddress(n int) string {
+	return fmt.Sprintf("%s.%d:8001", c.networkPrefix, 100+n)
+}
 
 func (c *Cluster) dropRulesFile(i *Instance) string { return filepath.Join(c.WorkDir, i.Name+".cut") }
 
--- a/ctl/internal/capacity/main.go
+++ b/ctl/internal/capacity/main.go
@@ -27,8 +27,9 @@
 
 const (
 	stepTimeout = 150 * time.Second
-	// settleTime and settleTimePerInstance let the gossip of the start end before the
-	// measurement: each instance's state is sent about 24 times, eight states to a frame.
+	// settleTime and settleTimePerInstance make the measurement wait until the gossip
+	// messages caused by the start have ended: each instance's state is sent about 24
+	// times, eight states to a frame.
 	settleTime            = 5 * time.Second
 	settleTimePerInstance = 300 * time.Millisecond
 )
--- a/ctl/internal/demo/main.go
+++ b/ctl/internal/demo/main.go
@@ -196,7 +196,7 @@
 }
 
 func (d *demo) chatRequest(entry, output int, prompt string) *caller.Request {
-	return &caller.Request{Address: d.cluster.Instances[entry].CallerAddress, Customer: d.cluster.CustomerKeys["hotel"], Model: "lumen", Prompt: []string{prompt}, OutputTokens: output, Stream: true}
+	return &caller.Request{Address: d.cluster.Instances[entry].CallerAddress, CustomerKey: d.cluster.CustomerKeys["hotel"], Model: "lumen", Prompt: []string{prompt}, OutputTokens: output, Stream: true}
 }
 
 // checkAnswer returns an error unless the call completed with the full answer to its request.
@@ -218,7 +218,7 @@
 }
 
 func (d *demo) dimRequest(entry int, key string, body string) *caller.Request {
-	return &caller.Request{Address: d.cluster.Instances[entry].CallerAddress, Customer: d.cluster.CustomerKeys["hotel"], IdempotencyKey: key, Service: "fixtures", Path: "/dim", Body: []byte(body)}
+	return &caller.Request{Address: d.cluster.Instances[entry].CallerAddress, CustomerKey: d.cluster.CustomerKeys["hotel"], IdempotencyKey: key, Service: "fixtures", Path: "/dim", Body: []byte(body)}
 }
 
 // callTwiceWithOneKey sends a non-idempotent call through two entries and checks that it ran
@@ -246,7 +246,7 @@
 // run.
 func rejectBadInput(ctx context.Context, d *demo) (string, error) {
 	bad := []func(*caller.Request){
-		func(r *caller.Request) { r.Customer = "nobody" },
+		func(r *caller.Request) { r.CustomerKey = "nobody" },
 		func(r *caller.Request) { r.Class = "no-such-class" },
 		func(r *caller.Request) { r.Model = "no-such-model" },
 		func(r *caller.Request) { r.Prompt = []string{string(make([]byte, 2<<20))} },
--- a/ctl/internal/overhead/main.go
+++ b/ctl/internal/overhead/main.go
@@ -69,8 +69,8 @@
 		GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
 	claimed := class
 	claimed.Idempotent = false
-	b := &bundle.Bundle{Version: 1, Classes: map[string]bundle.Class{"plain": class, "once": claimed},
-		Pools: map[string]bundle.Pool{"fixtures": {Kind: bundle.PoolService, DefaultClass: "plain"}}}
+	b := &bundle.Bundle{Version: 1, Classes: map[string]bundle.Class{"idempotent": class, "claimed": claimed},
+		Pools: map[string]bundle.Pool{"fixtures": {Kind: bundle.PoolService, DefaultClass: "idempotent"}}}
 	if err := c.StartWithBundle(ctx, b); err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 	body := []byte(`{"lamp":7,"level":40}`)
 	throughEntry := func(class string, withKey bool) func(context.Context, int) error {
 		return func(ctx context.Context, worker int) error {
-			r := &caller.Request{Address: c.Instances[worker%3].CallerAddress, Customer: c.CustomerKeys["hotel"], Class: class, Service: "fixtures", Path: "/dim", Body: body}
+			r := &caller.Request{Address: c.Instances[worker%3].CallerAddress, CustomerKey: c.CustomerKeys["hotel"], Class: class, Service: "fixtures", Path: "/dim", Body: body}
 			if withKey {
 				r.IdempotencyKey = caller.NewIdempotencyKey()
 			}
@@ -106,7 +106,7 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		return err
 	}
-	return map[string]func(context.Context, int) error{"direct": direct, "idempotent": throughEntry("plain", false), "claimed": throughEntry("once", true)}
+	return map[string]func(context.Context, int) error{"direct": direct, "idempotent": throughEntry("idempotent", false), "claimed": throughEntry("claimed", true)}
 }
 
 // pacedCallsPerSecond is the total rate of all callers in the paced measurement, about the
@@ -126,7 +126,7 @@
 
 func printTable(ctx context.Context, c *harness.Cluster, interval func(callers int) time.Duration) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "callers\tway\tcalls/s\tp50 ms\tp95 ms\tp99 ms\tadded at p50 ms\t")
+	fmt.Fprintln(w, "callers\tpath\tcalls/s\tp50 ms\tp95 ms\tp99 ms\tadded at p50 ms\t")
 	for _, callers := range []int{1, 16, 128} {
 		directP50 := int64(0)
 		for _, path := range []string{"direct", "idempotent", "claimed"} {
--- a/ctl/load/profile.go
+++ b/ctl/load/profile.go
@@ -26,12 +26,13 @@
 	Bundle bundle.Bundle `toml:"bundle"`
 	// Customers maps names to weights, in proportion to which calls are assigned.
 	Customers map[string]float64 `toml:"customers"`
-	Streams   []Stream           `toml:"streams"`
-	Phases    []Phase            `toml:"phases"`
-	Fleet     Fleet              `toml:"fleet"`
+	// Streams are the arrival streams whose calls make up the traffic.
+	Streams []Stream `toml:"streams"`
+	Phases  []Phase  `toml:"phases"`
+	Fleet   Fleet    `toml:"fleet"`
 }
 
-// Stream describes the calls of one class to one pool.
+// Stream is an arrival stream: the calls of one class to one pool.
 type Stream struct {
 	Class string `toml:"class"`
 	// Model or Service names the pool; exactly one is set.
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -188,7 +188,7 @@
 }
 
 func (p *Profile) newRequest(stream Stream, a Arrival, key string) *caller.Request {
-	r := &caller.Request{Customer: key, Class: stream.Class, Stream: true}
+	r := &caller.Request{CustomerKey: key, Class: stream.Class, Stream: true}
 	if stream.Keyed {
 		r.IdempotencyKey = caller.NewIdempotencyKey()
 	}
--- a/ctl/prove/bundles_test.go
+++ b/ctl/prove/bundles_test.go
@@ -31,7 +31,7 @@
 	code       state.Code
 	generation uint64
 	version    uint64
-	// winner is the digest that holds a version if the publish conflicts with it.
+	// winner is the digest already published under the version, if that conflicts.
 	winner string
 }
 
--- a/ctl/prove/cluster_test.go
+++ b/ctl/prove/cluster_test.go
@@ -117,7 +117,7 @@
 
 // chat makes a streaming chat call through an entry.
 func (tc *testCluster) chat(entry int, class, prompt string, output int) *caller.Result {
-	return caller.Do(tc.ctx, &caller.Request{Address: tc.Instances[entry].CallerAddress, Customer: tc.CustomerKeys["hotel"], Class: class, Model: "lumen",
+	return caller.Do(tc.ctx, &caller.Request{Address: tc.Instances[entry].CallerAddress, CustomerKey: tc.CustomerKeys["hotel"], Class: class, Model: "lumen",
 		Prompt: []string{prompt}, OutputTokens: output, Stream: true})
 }
 
@@ -128,7 +128,7 @@
 
 // callService makes a call of a plain service through an entry.
 func (tc *testCluster) callService(entry int, class, key, body string) *caller.Result {
-	return caller.Do(tc.ctx, &caller.Request{Address: tc.Instances[entry].CallerAddress, Customer: tc.CustomerKeys["hotel"], Class: class, IdempotencyKey: key,
+	return caller.Do(tc.ctx, &caller.Request{Address: tc.Instances[entry].CallerAddress, CustomerKey: tc.CustomerKeys["hotel"], Class: class, IdempotencyKey: key,
 		Service: "fixtures", Path: "/dim", Body: []byte(body)})
 }
 
--- a/ctl/prove/once_test.go
+++ b/ctl/prove/once_test.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// callWhileDisrupted sends calls with new keys through one entry and calls disrupt while they are
-// in flight. Each call that did not complete is then repeated through the first two of the
-// other entries at the same time.
+// callWhileDisrupted sends calls with new keys through one entry and calls disrupt while
+// they are in flight. Each call that did not complete is then repeated through the first
+// two of the other entries at the same time.
 func (h *onceHistory) callWhileDisrupted(entry int, others []int, calls int, disrupt func()) {
 	var wg sync.WaitGroup
 	for k := range calls {
--- a/ctl/prove/streams_test.go
+++ b/ctl/prove/streams_test.go
@@ -176,7 +176,7 @@
 		if worker%8 == 0 {
 			output = longAnswerTokens
 		}
-		return caller.Do(tc.ctx, &caller.Request{Address: pickAddress(), Customer: tc.CustomerKeys["villa"], Class: "scene", Model: "lumen",
+		return caller.Do(tc.ctx, &caller.Request{Address: pickAddress(), CustomerKey: tc.CustomerKeys["villa"], Class: "scene", Model: "lumen",
 			Prompt: []string{fmt.Sprintf("%d %d", worker, n)}, OutputTokens: output, Stream: true})
 	})
 	time.Sleep(time.Second)
@@ -199,7 +199,7 @@
 	t.Logf("%d calls, outcomes %v", len(list), countOutcomes(list))
 }
 
-// dispatcherAgreementTime is longer than news of leases takes to reach all instances.
+// dispatcherAgreementTime is longer than a change of leases needs to reach all instances.
 const dispatcherAgreementTime = 3 * time.Second
 
 // longestGapAfterDispatcherLoss disrupts the dispatcher of a pool while calls are made
@@ -246,7 +246,7 @@
 }
 
 // dispatcherOf returns a pool's dispatcher after all instances agree on it. In the first
-// seconds some instances are still taken to have no lease.
+// seconds some instances are still considered to have no lease.
 func (tc *testCluster) dispatcherOf(pool string) *harness.Instance {
 	tc.t.Helper()
 	time.Sleep(dispatcherAgreementTime)
