--- a/ctl/internal/overhead/main.go
+++ b/ctl/internal/overhead/main.go
@@ -69,8 +69,8 @@
 		GiveUp: bundle.GiveUpDeadline, WhenIsolated: bundle.IsolatedRefuse}
 	claimed := class
 	claimed.Idempotent = false
-	b := &bundle.Bundle{Version: 1, Classes: map[string]bundle.Class{"idempotent": class, "claimed": claimed},
-		Pools: map[string]bundle.Pool{"fixtures": {Kind: bundle.PoolService, DefaultClass: "idempotent"}}}
+	b := &bundle.Bundle{Version: 1, Classes: map[string]bundle.Class{"plain": class, "once": claimed},
+		Pools: map[string]bundle.Pool{"fixtures": {Kind: bundle.PoolService, DefaultClass: "plain"}}}
 	if err := c.StartWithBundle(ctx, b); err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		return err
 	}
-	return map[string]func(context.Context, int) error{"direct": direct, "idempotent": throughEntry("idempotent", false), "claimed": throughEntry("claimed", true)}
+	return map[string]func(context.Context, int) error{"direct": direct, "idempotent": throughEntry("plain", false), "claimed": throughEntry("once", true)}
 }
 
 // pacedCallsPerSecond is the total rate of all callers in the paced measurement, about the
