--- a/core/quarantine/replay_test.go
+++ b/core/quarantine/replay_test.go
@@ -207,7 +207,7 @@
 // A request that crashes its server arrives every half second, among 300 other calls a
 // second, of which some share one body and some are retried up to three times. None of
 // the others may be held.
-func TestOthersAreNotHeldBesideLethalRequest(t *testing.T) {
+func TestOthersAreNotHeldBesideCrashingRequest(t *testing.T) {
 	for seed := range int64(20) {
 		p := newReplay(t, 12, seed)
 		for n := range int(20 * time.Second / tick) {
--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -33,9 +33,9 @@
 	cancelTimeout  = time.Second
 )
 
-// Configure gives the shared HTTP client enough idle connections per server.
-// Call it once at start.
-func Configure() {
+// ConfigureTransport replaces http.DefaultTransport of the process by one that keeps enough
+// idle connections per server. Call it once at start.
+func ConfigureTransport() {
 	http.DefaultTransport = &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}).DialContext,
 		MaxIdleConns:        0,
--- a/daemon/backend/backend_test.go
+++ b/daemon/backend/backend_test.go
@@ -56,7 +56,7 @@
 // net/http must not retry a request by itself, not even one with an idempotency key on a
 // reused connection or one without a body.
 func TestNothingIsSentTwice(t *testing.T) {
-	Configure()
+	ConfigureTransport()
 	for _, body := range []string{"", "x"} {
 		for _, keep := range []bool{false, true} {
 			address, requests := startClosingServer(t, keep)
@@ -83,7 +83,7 @@
 // A refused connection is always reported as not sent. 300 in a row must not
 // make a circuit breaker in the HTTP client refuse calls.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
-	Configure()
+	ConfigureTransport()
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	address := l.Addr().String()
 	l.Close()
@@ -97,7 +97,7 @@
 }
 
 func TestTruncatedStreamIsAnError(t *testing.T) {
-	Configure()
+	ConfigureTransport()
 	for text, wantEnd := range map[string]bool{
 		"data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n": true,
 		"data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n":                 false,
--- a/daemon/baseline/baseline.go
+++ b/daemon/baseline/baseline.go
@@ -1,5 +1,5 @@
 // Package baseline implements the simple load-balancing policies that the
-// dispatcher is compared with: each entry forwards every call at once, either
+// dispatcher is compared with: each entry forwards every call immediately, either
 // round-robin or to the less loaded of two random servers by their reports, and
 // the engines queue first in, first out. It is enabled in the settings for
 // experiments only.
--- a/daemon/control/announce.go
+++ b/daemon/control/announce.go
@@ -27,13 +27,14 @@
 	announcementMaxAge = 5 * time.Second
 )
 
-// errQueueFull reports that the queue of announcements for the leader is full.
-var errQueueFull = eris.New("too many queued announcements")
+// errQueueFull reports that the queue of announcements for the leader is full. Its text
+// reaches the sender.
+var errQueueFull = eris.New("too many announcements wait")
 
 // announcementQueue queues announcements for the leader, with the callers that wait for the
-// result. After a full restart thousands of engines announce themselves to replicas
-// without a leader; searching for the leader separately for each of them cost 80
-// messages and more, which starved the election. Guarded by Service.mu.
+// result. Announcements are sent in batches: after a full restart thousands of engines
+// announce themselves to replicas without a leader, and a search for the leader for each
+// of them, 80 messages and more, would delay the election. Guarded by Service.mu.
 type announcementQueue struct {
 	servers map[string]announcement
 	waiters []chan error
@@ -46,7 +47,7 @@
 }
 
 // enqueueAnnouncement queues an announcement and reports whether this replica may acknowledge
-// it at once: it recently was in contact with the leader, and retries until the leader
+// it immediately: it recently was in contact with the leader, and retries until the leader
 // has accepted the announcement. Engines that had to wait for the leader's reply sent the
 // same announcement to one replica after the other, each time over a new connection, as
 // long as the leader was overloaded.
@@ -170,7 +171,7 @@
 // this replica is the leader; otherwise the reply names the leader.
 func (s *Service) applyAsLeader(body []byte, message any, apply func(now time.Time)) (any, error) {
 	if err := wire.Decode(body, message); err != nil {
-		return nil, eris.Wrap(err, "decode message to the leader")
+		return nil, eris.Wrap(err, "decode what is told of servers") // the text reaches the sender
 	}
 	v, _ := s.replica.View()
 	if !v.Leading {
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -174,7 +174,7 @@
 // and each notification makes every watch request compute its changes.
 const minNotifyInterval = 100 * time.Millisecond
 
-// notifyWatchers notifies the watchers of a change, at once or when minNotifyInterval has
+// notifyWatchers notifies the watchers of a change, immediately or when minNotifyInterval has
 // passed since the last notification. The caller holds s.mu.
 func (s *Service) notifyWatchers() {
 	if s.notifyScheduled {
@@ -257,7 +257,7 @@
 }
 
 // Depart withdraws a server that has ended; nil acknowledges it. A start without a time
-// stands for the server's newest known start.
+// denotes the server's newest known start.
 func (s *Service) Depart(ctx context.Context, start fleet.Start) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
--- a/daemon/control/foreign.go
+++ b/daemon/control/foreign.go
@@ -14,7 +14,7 @@
 	foreignLogInterval = time.Minute
 	// maxForeignSources bounds the tracked sources; further ones share otherForeignSources.
 	maxForeignSources = 256
-	// otherForeignSources stands for all sources beyond maxForeignSources.
+	// otherForeignSources is the name of all sources over maxForeignSources.
 	otherForeignSources = "others"
 )
 
--- a/daemon/control/register.go
+++ b/daemon/control/register.go
@@ -24,7 +24,7 @@
 
 // registerServers adds newly announced servers to the log, while this replica is the
 // leader, until the context ends. Announcements are acknowledged before that: when
-// thousands of engines start at once, replicating a log entry for each takes the leader
+// thousands of engines start simultaneously, replicating a log entry for each takes the leader
 // longer than engines wait.
 func (s *Service) registerServers(ctx context.Context) {
 	ticker := time.NewTicker(registerPeriod)
--- a/daemon/control/watch.go
+++ b/daemon/control/watch.go
@@ -29,7 +29,7 @@
 	bootstrapTimeout = 150 * time.Millisecond
 	// fetchTimeout bounds the transfer of a replica's full state: 2,000 engines are
 	// 240 KB, 0.2 s on an otherwise idle link of 10 Mbit/s. Requesting it from all replicas
-	// at once, and again after 150 ms, saturated the links of entries for seconds after a
+	// simultaneously, and again after 150 ms, saturated the links of entries for seconds after a
 	// full restart.
 	fetchTimeout = time.Second
 	// minBootstrapPause is the pause after a round that no replica answered; it grows by half
@@ -102,7 +102,7 @@
 }
 
 // maxBootstrapReplicas bounds the replicas that are asked at the same time. Hundreds of
-// entries that start at once repeat their requests; when each asked all of nine replicas,
+// entries that start simultaneously repeat their requests; when each asked all of nine replicas,
 // the connections alone took a second of a replica's CPU time.
 const maxBootstrapReplicas = 3
 
--- a/daemon/control/watchreply.go
+++ b/daemon/control/watchreply.go
@@ -199,7 +199,7 @@
 }
 
 // cachedReply is an encoded reply to stale reads. After a full restart hundreds of entries
-// request the same 236 KB at once, and encoding it takes 3.6 ms each time on a quarter of
+// request the same 236 KB simultaneously, and encoding it takes 3.6 ms each time on a quarter of
 // a core.
 type cachedReply struct {
 	body               msgpack.RawMessage
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -59,7 +59,7 @@
 
 // New builds an instance from validated settings.
 func New(s *settings.Settings) (*Daemon, error) {
-	backend.Configure()
+	backend.ConfigureTransport()
 	process := uuid.NewString()[:8]
 	keys, err := frameKeys(s.Peers.Keys)
 	if err != nil {
--- a/daemon/dispatcher/dispatcher.go
+++ b/daemon/dispatcher/dispatcher.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// hasWaiting reports whether the pool has waiting tickets and must be advanced
-// without a message: a ticket may expire, or a server may become usable again.
+// hasWaiting reports whether the pool has waiting tickets and must be rescheduled
+// periodically even if no message arrives: a ticket may expire, or a server may become usable again.
 func (p *pool) hasWaiting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/duties/runner.go
+++ b/daemon/duties/runner.go
@@ -152,7 +152,7 @@
 	r.opt.Work.Do(ctx, t)
 }
 
-// release releases the lease, so that another instance can claim it at once.
+// release releases the lease, so that another instance can claim it immediately.
 func (r *Runner) release(ctx context.Context, reason string) {
 	now := boottime.Now()
 	r.mu.Lock()
--- a/daemon/entry/execute.go
+++ b/daemon/entry/execute.go
@@ -47,8 +47,8 @@
 }
 
 // runDetached runs f, which may continue after the caller has its answer. If the context
-// ends before f, the caller gets the reply of late.
-func (e *Entry) runDetached(ctx context.Context, out *sink, f func() *reply, late func() *reply) *reply {
+// ends before f, the caller gets the reply that deadlineReply returns.
+func (e *Entry) runDetached(ctx context.Context, out *sink, f func() *reply, deadlineReply func() *reply) *reply {
 	done := make(chan *reply, 1)
 	e.work.Add(1)
 	go func() {
@@ -60,13 +60,14 @@
 		return r
 	case <-ctx.Done():
 	}
-	// A call that ends by itself at the deadline has a more precise outcome than late.
+	// A call that ends by itself at the deadline has a more precise outcome than
+	// deadlineReply.
 	select {
 	case r := <-done:
 		return r
 	case <-time.After(deadlineGrace):
 		out.detach()
-		return late()
+		return deadlineReply()
 	}
 }
 
--- a/daemon/entry/sink.go
+++ b/daemon/entry/sink.go
@@ -16,7 +16,7 @@
 )
 
 // sink receives a call's answer and writes it to the caller. Streaming callers get
-// each event at once; for the others the text is collected until the end. After
+// each event immediately; for the others the text is collected until the end. After
 // detach nothing more is written, while the call may continue.
 type sink struct {
 	mu           sync.Mutex
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -176,10 +176,9 @@
 	return sent
 }
 
-// A replica acknowledges an announcement at once while the leader is away, and passes it to
-// the next leader. When announcements waited for the leader, 3,000 engines timed out and
-// retried at other replicas: 300 new connections a second at each of nine replicas, for as
-// long as the leader was slow.
+// Without a leader, a replica acknowledges an announcement immediately and forwards it to
+// the next leader. Otherwise, with a slow leader, 3,000 engines time out and retry at other
+// replicas, which makes 300 new connections a second at each of nine replicas.
 func TestAnnouncementWithoutALeaderReachesTheNextLeader(t *testing.T) {
 	c := newCluster(t)
 	group := c.startReplicas()
@@ -193,7 +192,7 @@
 	began := time.Now()
 	err := alone.control.Announce(context.Background(), fleet.Server{ID: "s", Pool: "p", Address: "s", Sequence: 1})
 	if took := time.Since(began); err != nil || took > 300*time.Millisecond {
-		t.Errorf("not acknowledged at once, but after %v: %v", took, err)
+		t.Errorf("not acknowledged immediately, but after %v: %v", took, err)
 	}
 	again := c.start("again", other.peer, other.folder, false)
 	got := c.watchFleet(again)
--- a/daemon/frame/link.go
+++ b/daemon/frame/link.go
@@ -36,7 +36,7 @@
 	// accepts no more messages.
 	removed bool
 	// failedAt is when dialling failed last, and failures the number of failures in a row.
-	// Until the redial delay has passed, messages are refused at once.
+	// Until the redial delay has passed, messages are refused immediately.
 	failedAt time.Time
 	failures int
 	monitor  silence.Monitor
@@ -132,7 +132,7 @@
 	return idle
 }
 
-// connected records a new connection, on which queued messages are sent at once.
+// connected records a new connection, on which queued messages are sent immediately.
 func (l *link) connected() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/frame/silent_test.go
+++ b/daemon/frame/silent_test.go
@@ -72,12 +72,12 @@
 	}
 }
 
-// A connection between two instances may stop delivering packets without a reset, while new
-// connections work. Requests on it then time out one after the other, and an entry keeps an old
-// declaration for as long. In the soak run with seed 1409, half a second of silence at the
-// leader left an instance without answers from the replica group for more than 3 s. A
-// declaration must be in force 2 s after its acknowledgement, so that a silent connection
-// must be closed before.
+// A connection that stops delivering packets without a reset, while new connections work,
+// must be closed, so that requests use a new one. Otherwise they time out one after the
+// other, and an entry keeps an old declaration: after half a second of packet loss at the
+// leader (soak, seed 1409) an instance got no responses from the replica group for more
+// than 3 s. The bound is propagationLimit, the 2 s in which an acknowledged declaration
+// must be in force, plus the 2 s timeout of one lost request: 4 s.
 func TestSilentConnectionIsClosed(t *testing.T) {
 	peer, _ := serve(t, []Key{keyA}, nil)
 	a, _ := serve(t, []Key{keyA}, nil)
@@ -96,7 +96,7 @@
 		}
 	}
 	const propagationLimit = 2 * time.Second
-	// One request, with a timeout of 2 s here, may be lost with the connection.
+	// One request, with a timeout of 2 s in call, may be lost with the connection.
 	if took := time.Since(began); took > 2*propagationLimit {
 		t.Errorf("no response for %v over a silent connection", took)
 	}
--- a/daemon/httplisten.go
+++ b/daemon/httplisten.go
@@ -36,7 +36,8 @@
 	// idle is how long an idle connection stays open.
 	idle   time.Duration
 	server atomic.Pointer[http.Server]
-	// maxOpen limits the open connections, zero for no limit; further ones are closed at once.
+	// maxOpen limits the open connections, zero for no limit; further ones are closed
+	// immediately.
 	maxOpen int64
 	open    atomic.Int64
 }
@@ -132,6 +133,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), l.shutdownTimeout)
 	defer cancel()
 	if err := s.Shutdown(ctx); err != nil {
-		_ = s.Close() // requests still in flight are cut off, since the process ends
+		_ = s.Close() // requests still in flight are aborted, since the process ends
 	}
 }
--- a/daemon/httplisten_test.go
+++ b/daemon/httplisten_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// A replica that all engines connect to at once must not run out of memory and file
-// descriptors: connections over the limit are closed at once, and the others are served.
+// A replica that all engines connect to simultaneously must not run out of memory and file
+// descriptors: connections over the limit are closed immediately, and the others are served.
 func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
 	dial := dialListener(t, func(address string) (*httpListener, error) {
 		l, err := newHTTPListener("control", address, http.NotFoundHandler(), time.Minute)
--- a/daemon/lease/lease_test.go
+++ b/daemon/lease/lease_test.go
@@ -74,7 +74,7 @@
 	top.renew(context.Background())
 	last := top
 	for range 3 {
-		child := New(&delegating{last}, func(bool) {})
+		child := New(&delayedSource{last}, func(bool) {})
 		child.renew(context.Background())
 		if !child.Fresh() || child.Config().Generation != 3 {
 			t.Fatal("no lease passed on")
@@ -91,10 +91,10 @@
 	}
 }
 
-// delegating requests leases from another holder, with a delay both ways.
-type delegating struct{ from *Holder }
+// delayedSource requests leases from another holder, with a delay both ways.
+type delayedSource struct{ from *Holder }
 
-func (p *delegating) Lease(_ context.Context, generation uint64) (replica.Lease, error) {
+func (p *delayedSource) Lease(_ context.Context, generation uint64) (replica.Lease, error) {
 	time.Sleep(30 * time.Millisecond)
 	l, ok := p.from.Delegate(generation)
 	time.Sleep(30 * time.Millisecond)
--- a/daemon/partition.go
+++ b/daemon/partition.go
@@ -23,7 +23,7 @@
 }
 
 // partitionFile holds the rules of a file with one "in ADDRESS" or "out ADDRESS" per
-// line; the address * stands for all peers.
+// line; the address * matches all peers.
 type partitionFile struct {
 	path   string
 	mu     sync.Mutex
--- a/daemon/placement/placement.go
+++ b/daemon/placement/placement.go
@@ -1,6 +1,6 @@
 // Package placement orders engines to load the model versions and adapters of the
 // bundle in force. One instance at a time holds the order lease in the replicated
-// log; its orders carry the lease's fencing number and are recorded before they
+// log; its orders carry the lease's fencing token and are recorded before they
 // are sent.
 package placement
 
@@ -33,7 +33,7 @@
 	// orderTimeout bounds the sending of an order.
 	orderTimeout = 3 * time.Second
 	// unfencedDelay is how long a new holder sends no orders to engines that don't check fencing
-	// numbers: by then the previous holder's lease has expired and its last orders have
+	// tokens: by then the previous holder's lease has expired and its last orders have
 	// timed out.
 	unfencedDelay  = orderTimeout + time.Second
 	proposeTimeout = 2 * time.Second
@@ -151,7 +151,7 @@
 		return eris.Wrap(err, "record order")
 	}
 	if res.Code == state.CodeRefused {
-		return nil // limited by the weight store's rate; retried in the next round
+		return nil // limited by the rate at which model weights may be loaded; retried in the next round
 	}
 	if res.Code != state.CodeOK {
 		return eris.Errorf("record order: %s %s", res.Code, res.Message)
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -54,7 +54,8 @@
 	Busy Outcome = "busy"
 	// Failed: the provider returned an error.
 	Failed Outcome = "failed"
-	// Unreachable: there was no connection; the call was not delivered.
+	// Unreachable: the call was not delivered: there was no connection, or the duty was no
+	// longer held when it was to be sent.
 	Unreachable Outcome = "unreachable"
 	// Unanswered: there was no response; the call may still be carried out.
 	Unanswered Outcome = "unanswered"
@@ -64,7 +65,8 @@
 // the provider.
 const ReasonUnreachable = "the provider does not answer here"
 
-// Client makes the calls of the holders of duties. The zero value has no provider.
+// Client sends the requests of duty holders to the provider. The zero value means that no
+// provider is configured.
 type Client struct {
 	Address  string
 	Protocol Protocol
--- a/daemon/quarantine/crashes.go
+++ b/daemon/quarantine/crashes.go
@@ -62,7 +62,8 @@
 	return !s.startedAfter(r) && (s.confirmation != connectionsClosed || r.reached)
 }
 
-// suspects holds the servers with recent broken runs by the IDs of their starts.
+// suspects holds the servers with recent broken runs by the IDs of their starts. Such an ID
+// identifies one process lifetime of a server, unless the server keeps its ID over restarts.
 type suspects map[string]*suspectServer
 
 func (ss suspects) server(now time.Time, id string) *suspectServer {
@@ -72,7 +73,7 @@
 			ss.expire(now, quarantine.SimultaneousWindow)
 		}
 		if len(ss) >= maxServers {
-			return &suspectServer{} // not stored: thousands of servers break runs at once
+			return &suspectServer{} // not stored: thousands of servers break runs simultaneously
 		}
 		s = &suspectServer{}
 		ss[id] = s
--- a/daemon/quarantine/exchange.go
+++ b/daemon/quarantine/exchange.go
@@ -14,8 +14,8 @@
 	"cardamomwick.example/core/wire"
 )
 
-// ReportReplaced reports that a start of a server has terminated because a newer start of
-// it was announced.
+// ReportReplaced reports that a server process has ended, as shown by the announcement of
+// a newer one.
 func (m *Manager) ReportReplaced(server string) { m.reportTerminated(server, newerStart) }
 
 // reportTerminated processes the confirmed termination of a server's start and sends crash
--- a/daemon/quarantine/manager.go
+++ b/daemon/quarantine/manager.go
@@ -121,7 +121,7 @@
 const (
 	// decisionTimeout covers the confirmation of the last crash, the transmission of its
 	// report and the evaluation. A request that is still suspected then proceeds: no
-	// server has crashed under it since.
+	// server has crashed while running it since.
 	decisionTimeout  = 300 * time.Millisecond
 	decisionInterval = 10 * time.Millisecond
 )
@@ -159,8 +159,8 @@
 
 // Run is one run of a request at a server.
 type Run struct {
-	// Server is the ID of a server's start, or of the server if KeepsID is set: it keeps
-	// its ID over restarts. Address is where it listens.
+	// Server is the ID of the server process, or of the server if it keeps its ID over
+	// restarts (KeepsID). Address is where it listens.
 	Server  string
 	KeepsID bool
 	Address string
--- a/daemon/quarantine/manager_test.go
+++ b/daemon/quarantine/manager_test.go
@@ -184,7 +184,7 @@
 
 // A proxy accepts connections for the servers all the time; only their newer starts confirm
 // that they have terminated.
-func TestNewerStartsAreConfirmation(t *testing.T) {
+func TestNewerStartConfirmsTermination(t *testing.T) {
 	m := New(Options{})
 	address, _ := server(t)
 	for _, id := range []string{"a", "b", "c"} {
--- a/daemon/quarantine/probe.go
+++ b/daemon/quarantine/probe.go
@@ -40,7 +40,7 @@
 	noAnswer probeResult = iota
 	// accepted: connections to the server's port are accepted and kept open.
 	accepted
-	// closed: connections to the server's port are accepted and closed at once.
+	// closed: connections to the server's port are accepted and closed immediately.
 	closed
 	// refused: connections to the server's port are refused.
 	refused
@@ -58,7 +58,7 @@
 const (
 	// portRefused: the host refuses connections to the server's port.
 	portRefused confirmation = iota
-	// connectionsClosed: a proxy closes each connection to the server at once.
+	// connectionsClosed: a proxy closes each connection to the server immediately.
 	connectionsClosed
 	// newerStart: a newer start of the server has announced itself.
 	newerStart
@@ -74,7 +74,7 @@
 // prober distinguishes terminated servers from those that only broke a connection:
 // responses are also truncated, lost and reset while their server keeps running. Refused
 // connections confirm that the server's process has terminated, and so do connections
-// that are all closed at once. Safe for concurrent use.
+// that are all closed immediately. Safe for concurrent use.
 type prober struct {
 	mu      sync.Mutex
 	running map[string]bool
--- a/daemon/replica/client.go
+++ b/daemon/replica/client.go
@@ -21,7 +21,7 @@
 	attemptTimeout = 700 * time.Millisecond
 	// retryPause is the pause before the first retry; it doubles up to maxRetryPause.
 	// All calls retry this way while there is no leader; as soon as one call succeeds, the
-	// others retry at once.
+	// others retry immediately.
 	retryPause    = 15 * time.Millisecond
 	maxRetryPause = 120 * time.Millisecond
 )
@@ -109,7 +109,7 @@
 		if d.NotLeader {
 			c.changeTarget(target, d.Leader)
 		}
-		// The first redirect is followed at once; later ones only after a pause, since
+		// The first redirect is followed immediately; later ones only after a pause, since
 		// two replicas may redirect to each other.
 		if redirects++; redirects > 1 || d.Leader == "" {
 			c.pause(ctx, &wait)
--- a/daemon/replica/snapshots.go
+++ b/daemon/replica/snapshots.go
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	if c.Message.Snapshot == nil {
-		return nil, eris.New("snapshot chunk without a snapshot")
+		return nil, eris.New("snapshot chunk names no snapshot") // the text reaches the sender
 	}
 	return execute(ctx, r, func(reply func(bool)) {
 		reply(r.addChunk(&c))
--- a/daemon/router/attempts_test.go
+++ b/daemon/router/attempts_test.go
@@ -9,8 +9,8 @@
 )
 
 // A server is lost without a connection reset and restarts under its name. Its calls
-// must go to another server at once instead of waiting on the dead connections.
-func TestCallsAtARestartedServerEndAtOnce(t *testing.T) {
+// must go to another server immediately instead of waiting on the dead connections.
+func TestCallsAtARestartedServerEndImmediately(t *testing.T) {
 	silent := make(chan struct{})
 	arrived := make(chan struct{}, 1)
 	silentServer := func(http.ResponseWriter, *http.Request) {
--- a/daemon/router/call.go
+++ b/daemon/router/call.go
@@ -125,7 +125,7 @@
 }
 
 // backoff waits a short random time before another attempt, and returns false if the
-// context ends. When a server dies, all its calls are retried at once, and without
+// context ends. When a server dies, all its calls are retried simultaneously, and without
 // the wait every instance would place them by the same load counts.
 func (c *call) backoff(ctx context.Context) bool {
 	limit := min(maxBackoff, time.Duration(backoffShare*float64(c.route.TargetLatency)))
@@ -214,7 +214,7 @@
 	r.balancer.End(c.ticket)
 }
 
-// recordFirstEvent tells the balancer that the server has read the call's prompt.
+// recordFirstEvent notifies the balancer that the server has read the call's prompt.
 func (r *Router) recordFirstEvent(c *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// A call for which no token comes in time is refused at once without being sent, and a
+// A call for which no token comes in time is refused immediately without being sent, and a
 // retry after its Retry-After is served. The limiter starts with a random part of a token,
 // so that the first calls may be served.
 func TestCallIsRefusedWhereServersAreAtTheirLimit(t *testing.T) {
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -236,7 +236,7 @@
 	return true
 }
 
-// shutdownRetryAfter is short because another instance can take the call at once.
+// shutdownRetryAfter is short because another instance can take the call immediately.
 const shutdownRetryAfter = 10 * time.Millisecond
 
 // noDeclarationRetryAfter is sent by an instance that has no declaration yet.
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -142,7 +142,7 @@
 
 func hangUp(rw http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
 
-func notRunHere(rw http.ResponseWriter, _ *http.Request) {
+func refuseWithoutRunning(rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set("Not-Run", "1")
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -201,14 +201,14 @@
 	w.expect(w.call("/chat/x"), 502, 1)
 }
 
-func TestCallThatCertainlyDidNotRunGoesElsewhere(t *testing.T) {
-	w := newHarness(t, notRunHere, notRunHere, good, notRunHere)
+func TestCallThatDidNotRunIsRetriedAtAnotherServer(t *testing.T) {
+	w := newHarness(t, refuseWithoutRunning, refuseWithoutRunning, good, refuseWithoutRunning)
 	for range 4 {
 		if got := w.call("/once/x"); got.status != 200 {
 			t.Fatalf("got %d", got.status)
 		}
 	}
-	w = newHarness(t, notRunHere, notRunHere)
+	w = newHarness(t, refuseWithoutRunning, refuseWithoutRunning)
 	got := w.call("/once/x")
 	w.expect(got, 503, 2)
 	if got.header.Get("Retry-After") == "" {
@@ -308,10 +308,10 @@
 	w.router.SetFleet(w.fleet)
 	got := w.call("/chat/x")
 	if got.err == nil {
-		t.Errorf("the broken stream ended as if it were whole: %q", got.body)
+		t.Errorf("the broken stream ended as if it were complete: %q", got.body)
 	}
 	if !strings.HasPrefix(pieces(9), got.body) {
-		t.Errorf("got other bytes than whole events: %q", got.body)
+		t.Errorf("got other bytes than those of complete events: %q", got.body)
 	}
 }
 
@@ -413,7 +413,7 @@
 	w.expect(w.call("/once/x"), 504, 1)
 }
 
-func TestStreamThatFallsSilentGoesOnElsewhere(t *testing.T) {
+func TestStreamThatFallsSilentContinuesAtAnotherServer(t *testing.T) {
 	var first atomic.Bool
 	h := func(rw http.ResponseWriter, r *http.Request) {
 		if first.CompareAndSwap(false, true) {
--- a/daemon/router/warmup_test.go
+++ b/daemon/router/warmup_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestCallIsRefusedAtOnceLongAfterTheStart(t *testing.T) {
+func TestCallIsRefusedImmediatelyAfterStartupWindow(t *testing.T) {
 	w := newHarness(t, good)
 	w.router = New(Options{Protocol: testProtocol{}, Name: "entry", Table: func() *routing.Table { return nil }, Entries: func() int { return 1 }})
 	w.router.started = time.Now().Add(-time.Minute)
--- a/daemon/settings/duties.go
+++ b/daemon/settings/duties.go
@@ -51,16 +51,17 @@
 	MostPrice Text `toml:"most_price"`
 }
 
-// ProviderTuning holds the tuning settings of Provider.
+// ProviderTuning holds the parsed tuning settings of Provider.
 type ProviderTuning struct {
+	// Exclusive is the time within which no two holders may act alternately on one duty.
 	Exclusive      time.Duration
 	CallsPerSecond float64
 }
 
-// UsageTuning holds the tuning settings of Usage.
+// UsageTuning holds the parsed tuning settings of Usage.
 type UsageTuning struct{ Window, Within, Keep time.Duration }
 
-// CapacityTuning holds the tuning settings of Capacity.
+// CapacityTuning holds the parsed tuning settings of Capacity.
 type CapacityTuning struct{ Reserve, RegularShare, MaxPrice float64 }
 
 // Defaults of the duties.
--- a/daemon/settings/tuning.go
+++ b/daemon/settings/tuning.go
@@ -9,10 +9,10 @@
 )
 
 // Text is a setting that is parsed leniently: it may be written as a string or as a
-// number, and is parsed after the whole file was decoded.
+// number, and is parsed after the file was decoded.
 type Text string
 
-// UnmarshalText stores the text as written, also that of numbers.
+// UnmarshalText stores the unparsed text, for numbers too.
 func (t *Text) UnmarshalText(text []byte) error {
 	*t = Text(text)
 	return nil
@@ -58,7 +58,8 @@
 	s.warnings = p.warnings
 }
 
-// Tuning returns the tuning settings.
+// Tuning returns the settings that only affect performance and timing, parsed, with a default
+// or a bound in place of each invalid value.
 func (s *Settings) Tuning() Tuning { return s.tuning }
 
 // Warnings returns the settings whose values were replaced, for the log.
--- a/daemon/upstream/protocol.go
+++ b/daemon/upstream/protocol.go
@@ -50,7 +50,7 @@
 	Tokens int
 }
 
-// CallHeaders is what the system tells a backend server about a call.
+// CallHeaders holds the data that the system sends to a backend server with a call.
 type CallHeaders struct {
 	TimeLeft time.Duration
 	// ServerName is the intended server; another one at the same address refuses the
@@ -64,7 +64,7 @@
 	LastEventID string
 }
 
-// Answer holds a backend server's headers.
+// Answer holds the values parsed from the headers of a backend server's response.
 type Answer struct {
 	// CallID is the ID of the answered call; empty if it is not given.
 	CallID string
@@ -78,8 +78,8 @@
 	Load *Load
 	// KeepAlive is how long the server keeps an idle connection; zero if it is not given.
 	KeepAlive time.Duration
-	// Limit is the request rate that the server asks for. BadLimit is set if the server
-	// names one that can't be read.
+	// Limit is the request rate that the server asks for. BadLimit is set if it is
+	// invalid.
 	Limit    ratelimit.Limit
 	BadLimit bool
 }
